--- a/__tests__/forwarding/budgets.test.ts
+++ b/__tests__/forwarding/budgets.test.ts
@@ -1,7 +1,7 @@
 /** Budgets hold over all entries together. */
 import { expect, test } from "vitest";
 import { ColdBudget } from "../../src/core/budgets/coldBudget.js";
-import { RepeatBudget } from "../../src/core/budgets/repeatBudget.js";
+import { SharedRetryBudget } from "../../src/core/budgets/sharedRetryBudget.js";
 import type { Clock } from "../../src/utils/clock.js";
 
 const fakeClock = () => {
@@ -20,15 +20,15 @@
     const clock = fakeClock();
     const budgets = Array.from(
         { length: 6 },
-        () => new RepeatBudget(clock, () => ({ share: 0.2, window: 10_000, extra: 100 }), () => 6),
+        () => new SharedRetryBudget(clock, () => ({ share: 0.2, window: 10_000, extra: 100 }), () => 6),
     );
     let repeats = 0;
     let requests = 0;
     for (clock.time = 0; clock.time < 10_000; clock.time += 10) {
         const budget = budgets[(clock.time / 10) % 6]!;
-        budget.request("models");
+        budget.recordRequest("models");
         requests++;
-        repeats += budget.take("models") ? 1 : 0;
+        repeats += budget.tryTake("models") ? 1 : 0;
     }
     expect(repeats).toBeGreaterThan(0.7 * (0.2 * requests + 100));
     expect(repeats).toBeLessThanOrEqual(0.2 * requests + 100);
@@ -36,14 +36,14 @@
 
 test("budget comes back with time", () => {
     const clock = fakeClock();
-    const budget = new RepeatBudget(clock, () => ({ share: 0, window: 10_000, extra: 10 }), () => 1);
+    const budget = new SharedRetryBudget(clock, () => ({ share: 0, window: 10_000, extra: 10 }), () => 1);
     let taken = 0;
-    while (budget.take("s")) {
+    while (budget.tryTake("s")) {
         taken++;
     }
     expect(taken).toBe(8);
     clock.time = 10_001;
-    expect(budget.take("s")).toBe(true);
+    expect(budget.tryTake("s")).toBe(true);
 });
 
 /** Requests that `count` entries send a cold endpoint in a second, each as many as its budget allows. */
@@ -57,7 +57,7 @@
     for (clock.time = 0; clock.time < 1_000; clock.time++) {
         for (const budget of budgets) {
             if (budget.allows("e", 26)) {
-                budget.note("e");
+                budget.recordSent("e");
                 sent++;
             }
         }
--- a/__tests__/forwarding/engineBelief.test.ts
+++ b/__tests__/forwarding/engineBelief.test.ts
@@ -1,7 +1,7 @@
 /** What an endpoint is believed to do, by the passes of its engine. */
 import { expect, test } from "vitest";
-import { WorkPart } from "../../src/core/placement/engineBelief.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
+import { WorkPart } from "../../src/core/placement/engineEstimate.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
 import { type EngineWork, PassEngine } from "../../src/standins/passEngineModel.js";
 import type { EngineProfile } from "../../src/types/routing.js";
@@ -23,7 +23,7 @@
 /** A belief beside the engine that it is about. */
 class Fixture {
     readonly clock = new SimulatedClock();
-    readonly view = new LoadView(this.clock, () => engine);
+    readonly view = new LoadEstimator(this.clock, () => engine);
     readonly real = new PassEngine(engine, this.clock);
     readonly firstEvents = new Map<string, number>();
 
@@ -95,7 +95,7 @@
     fixture.send("lost", 2_000);
     await fixture.clock.run(400);
     fixture.firstEvents.clear();
-    const view = new LoadView(fixture.clock, () => engine);
+    const view = new LoadEstimator(fixture.clock, () => engine);
     const work = {
         id: "unheard",
         owner: "entry-2",
--- a/__tests__/forwarding/limits.test.ts
+++ b/__tests__/forwarding/limits.test.ts
@@ -150,7 +150,7 @@
 const shareOf = (limits: EndpointLimits, allowance: Allowance): number => {
     let sent = 0;
     while (limits.allows("m-1", allowance)) {
-        limits.noteSent("m-1");
+        limits.recordSent("m-1");
         sent++;
     }
     return sent;
@@ -164,7 +164,7 @@
             for (const allowance of [Allowance.Named, Allowance.Excess]) {
                 for (const rank of Array(known).keys()) {
                     const limits = limitsOf(known, rank);
-                    limits.named("m-1", perSecond);
+                    limits.recordLimit("m-1", perSecond);
                     sums[allowance] += shareOf(limits, allowance);
                 }
             }
@@ -179,11 +179,11 @@
     const clock = new SimulatedClock();
     const limits = limitsOf(6, 0, clock);
     await clock.run(100);
-    limits.named("m-1", 1.5);
-    limits.unnamed("m-1", 90);
+    limits.recordLimit("m-1", 1.5);
+    limits.recordNoLimit("m-1", 90);
     expect(limits.limitOf("m-1")).toBe(1.5);
     await clock.run(200);
-    limits.unnamed("m-1", 150);
+    limits.recordNoLimit("m-1", 150);
     expect(limits.limitOf("m-1")).toBeUndefined();
 });
 
@@ -191,10 +191,10 @@
     const clock = new SimulatedClock();
     const limits = limitsOf(6, 0, clock);
     await clock.run(1_000);
-    limits.named("m-1", 1.5);
+    limits.recordLimit("m-1", 1.5);
     await clock.run(1_500);
-    limits.learn([{ endpoint: "m-1", perSecond: undefined, age: 700 }]);
+    limits.merge([{ endpoint: "m-1", perSecond: undefined, age: 700 }]);
     expect(limits.limitOf("m-1")).toBe(1.5);
-    limits.learn([{ endpoint: "m-1", perSecond: undefined, age: 100 }]);
+    limits.merge([{ endpoint: "m-1", perSecond: undefined, age: 100 }]);
     expect(limits.limitOf("m-1")).toBeUndefined();
 });
--- a/__tests__/forwarding/membership.test.ts
+++ b/__tests__/forwarding/membership.test.ts
@@ -3,9 +3,9 @@
 import { formGroups, type GroupMember, relaysOf } from "../../src/core/membership/fanOut.js";
 import { Membership } from "../../src/core/membership/membership.js";
 import { Peers } from "../../src/core/membership/peers.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
-import { SharedLoads } from "../../src/core/placement/sharedLoads.js";
-import { PassOn } from "../../src/ports/peerNewsPort.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
+import { SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
+import { RelayScope } from "../../src/ports/peerChannelPort.js";
 import type { Clock } from "../../src/utils/clock.js";
 
 class Fixture {
@@ -25,7 +25,7 @@
             clock: this.clock,
             log: { info: () => {}, warn: () => {}, error: () => {} },
             channel: { send: addresses => this.told.push(addresses) },
-            loads: new SharedLoads(new LoadView(this.clock, () => undefined), this.clock),
+            loads: new SharedLoadEstimator(new LoadEstimator(this.clock, () => undefined), this.clock),
             tellsLoads: false,
             self: { id: self, address: "10.0.0.0:1", incarnation: "a" },
             dataCentre: "north",
@@ -38,14 +38,14 @@
     }
 
     list(count: number): void {
-        this.peers.listed(
+        this.peers.applyListing(
             [...Array(count).keys()].map(index => ({ id: `entry-${index}`, address: `10.0.0.${index}:1` })),
         );
     }
 
     hear(id: string): void {
         const from = { id, address: `${id}:1`, incarnation: "a" };
-        this.peers.hear({ messages: [{ from, news: [] }], passOn: PassOn.Nobody });
+        this.peers.receive({ messages: [{ from, news: [] }], passOn: RelayScope.Nobody });
     }
 }
 
@@ -63,7 +63,7 @@
     const fixture = new Fixture();
     fixture.list(40);
     fixture.time = 60_000;
-    expect(fixture.peers.living).toBe(1);
+    expect(fixture.peers.livingCount).toBe(1);
     expect(fixture.membership.size).toBe(40);
 });
 
--- a/__tests__/forwarding/peerNews.test.ts
+++ b/__tests__/forwarding/peerNews.test.ts
@@ -2,10 +2,10 @@
 import { expect, test } from "vitest";
 import { Membership } from "../../src/core/membership/membership.js";
 import { Peers } from "../../src/core/membership/peers.js";
-import { WorkPart } from "../../src/core/placement/engineBelief.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
-import { SharedLoads } from "../../src/core/placement/sharedLoads.js";
-import type { PeerPacket, ToldChange } from "../../src/ports/peerNewsPort.js";
+import { WorkPart } from "../../src/core/placement/engineEstimate.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
+import { SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
+import type { PeerPacket, StateDelta } from "../../src/ports/peerChannelPort.js";
 import { StateKind } from "../../src/ports/statePort.js";
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
 import { silentLog } from "../../src/utils/log.js";
@@ -17,7 +17,7 @@
     address: string;
     peers: Peers;
     membership: Membership;
-    loads: SharedLoads;
+    loads: SharedLoadEstimator;
     ending: AbortController;
     sent: number;
     /** Whether datagrams to it arrive. */
@@ -39,7 +39,7 @@
         const { clock } = this;
         const id = `entry-${index}`;
         const address = `10.0.0.${index}:1`;
-        const loads = new SharedLoads(new LoadView(clock, () => undefined), clock);
+        const loads = new SharedLoadEstimator(new LoadEstimator(clock, () => undefined), clock);
         const peers = new Peers({
             clock,
             log: silentLog,
@@ -66,7 +66,7 @@
         };
         this.members[index] = member;
         peers.greet(this.members.slice(0, 3).filter(other => other !== member).map(other => other.address));
-        void peers.sayAlive(ending.signal);
+        void peers.runHeartbeats(ending.signal);
         return member;
     }
 
@@ -90,7 +90,7 @@
             this.clock.after(delay, () => {
                 const to = this.members.find(member => member.address === address);
                 if (to?.reached) {
-                    to.peers.hear(packet);
+                    to.peers.receive(packet);
                 }
             });
         }
@@ -101,7 +101,7 @@
     test(`all of ${count} entries know one another within three seconds`, async () => {
         const site = new Site(count);
         await site.clock.run(3_000);
-        expect(site.members.map(({ peers }) => peers.living)).toEqual(site.members.map(() => count));
+        expect(site.members.map(({ peers }) => peers.livingCount)).toEqual(site.members.map(() => count));
     });
 
     test(`half of ${count} entries killed at once are missed, and found again`, async () => {
@@ -115,19 +115,19 @@
         }
         await site.clock.run(5_000 + 9_000);
         const left = site.members.slice(half);
-        expect(left.map(({ peers }) => peers.living)).toEqual(left.map(() => count - half));
+        expect(left.map(({ peers }) => peers.livingCount)).toEqual(left.map(() => count - half));
         for (let index = 0; index < half; index++) {
             site.start(index, "second");
         }
         await site.clock.run(18_000);
-        expect(site.members.map(({ peers }) => peers.living)).toEqual(site.members.map(() => count));
+        expect(site.members.map(({ peers }) => peers.livingCount)).toEqual(site.members.map(() => count));
     });
 
     test(`placement is known by all who choose endpoints for ${count} entries, and its end`, async () => {
         // Guards against endpoints that are taken twice, as who chooses for others doesn't know what was placed.
         const site = new Site(count);
         await site.clock.run(5_000);
-        site.members[0]!.loads.place([{
+        site.members[0]!.loads.recordPlaced([{
             id: "r",
             owner: "entry-0",
             endpoint: "e",
@@ -147,7 +147,7 @@
         await site.clock.run(5_030);
         expect(placers.length).toBeGreaterThan(1);
         expect(known()).toBe(placers.length);
-        site.members[0]!.loads.end(["e"], "r");
+        site.members[0]!.loads.recordEnded(["e"], "r");
         await site.clock.run(5_400);
         expect(known()).toBe(0);
     });
@@ -172,10 +172,10 @@
     await site.clock.run(5_000);
     const heard = new Set<string>();
     for (const { id, peers } of site.members) {
-        peers.onChange = () => heard.add(id);
+        peers.onStateDelta = () => heard.add(id);
     }
-    const change: ToldChange = { kind: StateKind.Endpoints, after: 3, revision: 4, wasAway: false, changes: [] };
-    site.members[4]!.peers.sayStoreRead(change);
+    const change: StateDelta = { kind: StateKind.Endpoints, after: 3, revision: 4, wasAway: false, changes: [] };
+    site.members[4]!.peers.publishStoreRead(change);
     await site.clock.run(5_100);
     expect(heard.size).toBe(29);
 });
@@ -190,5 +190,5 @@
     site.stop(3);
     await site.clock.run(6_800);
     const others = site.members.filter((...[, index]) => index !== 3);
-    expect(others.every(({ peers }) => peers.living === 29)).toBe(true);
+    expect(others.every(({ peers }) => peers.livingCount === 29)).toBe(true);
 });
--- a/__tests__/forwarding/placement.test.ts
+++ b/__tests__/forwarding/placement.test.ts
@@ -1,12 +1,16 @@
 /** Where work goes, at the load patterns that the placement answers. */
 import { expect, test } from "vitest";
 import type { KnownEndpoint } from "../../src/core/membership/endpointDirectory.js";
-import { type PlacedWork, WorkPart } from "../../src/core/placement/engineBelief.js";
+import {
+    EndpointSelector,
+    type PlacementRequirements,
+    requestValue,
+} from "../../src/core/placement/endpointSelector.js";
 import { readTime } from "../../src/core/placement/engineCost.js";
-import { FailureView } from "../../src/core/placement/failureView.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
-import { type PlacementNeed, Placer, valueOf } from "../../src/core/placement/placer.js";
-import { SharedLoads } from "../../src/core/placement/sharedLoads.js";
+import { type PlacedWork, WorkPart } from "../../src/core/placement/engineEstimate.js";
+import { FailureTracker } from "../../src/core/placement/failureTracker.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
+import { SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
 import { readPart } from "../../src/core/placement/team.js";
 import { EndpointState, type EngineProfile, type ServiceDefinition } from "../../src/types/routing.js";
 import type { Clock } from "../../src/utils/clock.js";
@@ -45,15 +49,15 @@
         sleep: () => Promise.resolve(),
         after: () => () => {},
     };
-    readonly loads = new LoadView(this.clock, () => engine);
-    readonly shared = new SharedLoads(this.loads, this.clock);
-    readonly failures = new FailureView(this.clock);
-    readonly placer: Placer;
+    readonly loads = new LoadEstimator(this.clock, () => engine);
+    readonly shared = new SharedLoadEstimator(this.loads, this.clock);
+    readonly failures = new FailureTracker(this.clock);
+    readonly placer: EndpointSelector;
     readonly endpoints: KnownEndpoint[];
     private next = 0;
 
     constructor(count: number, seed = 1) {
-        this.placer = new Placer(this.shared, this.failures, seededRandom(seed));
+        this.placer = new EndpointSelector(this.shared, this.failures, seededRandom(seed));
         this.shared.serviceOf = () => "models";
         this.endpoints = [...Array(count).keys()].map(index => ({
             record: {
@@ -72,7 +76,7 @@
         }));
     }
 
-    need(promptTokens: number, changes: Partial<PlacementNeed> = {}): PlacementNeed {
+    need(promptTokens: number, changes: Partial<PlacementRequirements> = {}): PlacementRequirements {
         const short = promptTokens < 30_000;
         return {
             service: models,
@@ -93,7 +97,7 @@
     /** Places a prompt and notes it; returns the endpoint and how many help. */
     place(promptTokens: number): { id: string; helpers: number; firstEvent: number; yields: boolean; work: string; } {
         const need = this.need(promptTokens);
-        const placement = this.placer.place(need, this.endpoints)!;
+        const placement = this.placer.select(need, this.endpoints)!;
         const { endpoint, helpers, shares, firstEvent, yields } = placement;
         const work = `w-${this.next++}`;
         const held = new Map(shares.map(share => [share.endpoint, share.tokens]));
@@ -108,7 +112,7 @@
 
     /** Who would read a prompt, and who would hold it. */
     team(promptTokens: number): { readers: string[]; shares: { id: string; tokens: number; }[]; } {
-        const { endpoint, helpers, shares } = this.placer.place(this.need(promptTokens), this.endpoints)!;
+        const { endpoint, helpers, shares } = this.placer.select(this.need(promptTokens), this.endpoints)!;
         return {
             readers: [endpoint, ...helpers].map(({ record }) => record.id),
             shares: shares.map(share => ({ id: share.endpoint.record.id, tokens: share.tokens })),
@@ -121,7 +125,13 @@
         return passLeft + readBacklog;
     }
 
-    work(endpoint: string, id: string, need: PlacementNeed, read: number, part: WorkPart = WorkPart.Main): PlacedWork {
+    work(
+        endpoint: string,
+        id: string,
+        need: PlacementRequirements,
+        read: number,
+        part: WorkPart = WorkPart.Main,
+    ): PlacedWork {
         return {
             id,
             owner: "entry-1",
@@ -130,7 +140,7 @@
             readTokens: 0,
             readTime: read,
             targetGap: need.targetGap,
-            value: valueOf(need.promptTokens),
+            value: requestValue(need.promptTokens),
             yielding: false,
             firstEventIn: undefined,
             part,
@@ -240,7 +250,7 @@
     // Two prompts that need all the memory there is. The second one's orders would be refused, and asking costs both.
     const fixture = new Fixture(3);
     fixture.place(1_000_000);
-    expect(fixture.placer.place(fixture.need(1_000_000), fixture.endpoints)).toBeUndefined();
+    expect(fixture.placer.select(fixture.need(1_000_000), fixture.endpoints)).toBeUndefined();
 });
 
 test("short prompts are left some endpoints by a long read that is late anyway", () => {
@@ -260,9 +270,9 @@
 
 test("resting endpoint is passed over", () => {
     const fixture = new Fixture(2);
-    fixture.failures.lost(fixture.endpoints[0]!);
+    fixture.failures.recordLost(fixture.endpoints[0]!);
     expect(fixture.place(5_000).id).toBe("e-1");
-    fixture.failures.lost(fixture.endpoints[1]!);
+    fixture.failures.recordLost(fixture.endpoints[1]!);
     expect(fixture.place(5_000).id).toBeDefined();
 });
 
@@ -272,12 +282,12 @@
     const fixture = new Fixture(12);
     const inA = fixture.endpoints.filter(({ record }) => record.dataCentre === "a");
     for (const endpoint of inA.slice(0, 3)) {
-        fixture.failures.lost(endpoint);
+        fixture.failures.recordLost(endpoint);
     }
     const { readers } = fixture.team(200_000);
     expect(readers.every(id => fixture.endpoints.find(({ record }) => record.id === id)!.record.dataCentre === "b"))
         .toBe(true);
-    fixture.failures.succeeded(inA[4]!);
+    fixture.failures.recordSucceeded(inA[4]!);
     expect(fixture.failures.suspects("a")).toBe(false);
 });
 
@@ -286,7 +296,7 @@
     // the rest with half as much again.
     const fixture = new Fixture(12);
     for (const endpoint of fixture.endpoints.filter(({ record }) => record.dataCentre === "a").slice(0, 3)) {
-        fixture.failures.silent(endpoint);
+        fixture.failures.recordSilent(endpoint);
     }
     expect(fixture.failures.suspects("a")).toBe(false);
 });
@@ -294,7 +304,7 @@
 test("endpoints lost here and there are no reason to pass over the others", () => {
     const fixture = new Fixture(12);
     for (const endpoint of fixture.endpoints.slice(0, 4)) {
-        fixture.failures.lost(endpoint);
+        fixture.failures.recordLost(endpoint);
     }
     expect(fixture.failures.suspects("a")).toBe(false);
     expect(fixture.failures.suspects("b")).toBe(false);
@@ -305,16 +315,16 @@
     // more than the others.
     const fixture = new Fixture(3);
     for (let index = 0; index < 4; index++) {
-        fixture.failures.failed("e-0");
+        fixture.failures.recordFailed("e-0");
     }
     const need = { ...fixture.need(0), service: desk };
-    expect(fixture.placer.place(need, fixture.endpoints)!.endpoint.record.id).not.toBe("e-0");
+    expect(fixture.placer.select(need, fixture.endpoints)!.endpoint.record.id).not.toBe("e-0");
 });
 
 test("refusing endpoint doesn't get it again, broken one as the last resort", () => {
     const fixture = new Fixture(2);
-    const place = (changes: Partial<PlacementNeed>) =>
-        fixture.placer.place(fixture.need(0, { service: desk, ...changes }), fixture.endpoints)?.endpoint.record.id;
+    const place = (changes: Partial<PlacementRequirements>) =>
+        fixture.placer.select(fixture.need(0, { service: desk, ...changes }), fixture.endpoints)?.endpoint.record.id;
     expect(place({ refused: new Set(["e-0", "e-1"]) })).toBeUndefined();
     expect(place({ refused: new Set(["e-0"]), broken: new Set(["e-1"]) })).toBe("e-1");
     expect(place({ broken: new Set(["e-1"]) })).toBe("e-0");
@@ -444,7 +454,7 @@
         fixture.loads.writes("e-0", `w-${index}`);
     }
     const firstEvent = (answerTokens: number) =>
-        fixture.placer.place(fixture.need(5_000, { service, answerTokens }), fixture.endpoints)!.firstEvent;
+        fixture.placer.select(fixture.need(5_000, { service, answerTokens }), fixture.endpoints)!.firstEvent;
     expect(firstEvent(4_800)).toBe(firstEvent(1_600));
 });
 
@@ -468,12 +478,12 @@
     const chosen = [...Array(20).keys()].map(entry => {
         const fixture = new Fixture(40, entry);
         for (let placement = 0; placement < 200; placement++) {
-            fixture.shared.hear({
+            fixture.shared.apply({
                 type: "Placed",
                 works: [fixture.work("gone", `w-${placement}`, fixture.need(10), 0)],
             });
         }
-        fixture.shared.newsDelay = () => 20;
+        fixture.shared.propagationDelay = () => 20;
         return fixture.place(5_000).id;
     });
     expect(new Set(chosen).size).toBeGreaterThan(10);
@@ -486,14 +496,14 @@
     // Twice as many short prompts come as the endpoints can write. The engine time of one prompt that is late anyway would make
     // a hundred of them late too.
     const fixture = new Fixture(6);
-    expect(fixture.placer.place(doomed(fixture), fixture.endpoints)!.postponed).toBe(false);
+    expect(fixture.placer.select(doomed(fixture), fixture.endpoints)!.postponed).toBe(false);
     for (let request = 0; request < 120; request++) {
-        fixture.shared.demand.note("models", 25, valueOf(5_000));
+        fixture.shared.demand.note("models", 25, requestValue(5_000));
         fixture.time += 10;
     }
-    expect(fixture.placer.place(doomed(fixture), fixture.endpoints)!.postponed).toBe(true);
+    expect(fixture.placer.select(doomed(fixture), fixture.endpoints)!.postponed).toBe(true);
     fixture.time += 3_000;
-    expect(fixture.placer.place(doomed(fixture), fixture.endpoints)!.postponed).toBe(false);
+    expect(fixture.placer.select(doomed(fixture), fixture.endpoints)!.postponed).toBe(false);
 });
 
 test("no part beside writers whose callers would give up", () => {
@@ -507,6 +517,6 @@
     }
     fixture.time += 100;
     const long = fixture.need(260_000, { targetLeft: 2_500 });
-    const { endpoint, helpers } = fixture.placer.place(long, fixture.endpoints)!;
+    const { endpoint, helpers } = fixture.placer.select(long, fixture.endpoints)!;
     expect([endpoint, ...helpers].map(({ record }) => record.id)).toEqual(["e-1"]);
 });
--- a/__tests__/forwarding/placing.test.ts
+++ b/__tests__/forwarding/placing.test.ts
@@ -4,12 +4,12 @@
 import { EndpointLimits } from "../../src/core/budgets/endpointLimits.js";
 import { EndpointDirectory } from "../../src/core/membership/endpointDirectory.js";
 import { Metrics } from "../../src/core/metrics.js";
-import { FailureView } from "../../src/core/placement/failureView.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
-import type { PlacementQuestion, TravellingPlacement } from "../../src/core/placement/placementQuestion.js";
-import { Placer } from "../../src/core/placement/placer.js";
-import { type PlacementRequest, Placing } from "../../src/core/placement/placing.js";
-import { type LoadNews, SharedLoads } from "../../src/core/placement/sharedLoads.js";
+import { EndpointSelector } from "../../src/core/placement/endpointSelector.js";
+import { FailureTracker } from "../../src/core/placement/failureTracker.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
+import { PlacementClient, type PlacementRequest } from "../../src/core/placement/placementClient.js";
+import type { PlacementQuestion, SerializedPlacement } from "../../src/core/placement/placementQuestion.js";
+import { type LoadUpdate, SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
 import { type EndpointRecord, EndpointState } from "../../src/types/routing.js";
 import { silentLog } from "../../src/utils/log.js";
@@ -23,7 +23,7 @@
     engine: undefined,
 };
 
-const chosen = (endpoint: string): TravellingPlacement => ({
+const chosen = (endpoint: string): SerializedPlacement => ({
     endpoint,
     helpers: [],
     shares: [],
@@ -39,16 +39,16 @@
 class Fixture {
     readonly clock = new SimulatedClock();
     readonly directory = new EndpointDirectory(this.clock, silentLog);
-    readonly loads = new SharedLoads(new LoadView(this.clock, () => undefined), this.clock);
+    readonly loads = new SharedLoadEstimator(new LoadEstimator(this.clock, () => undefined), this.clock);
     readonly asked: PlacementQuestion[] = [];
     readonly silent: string[] = [];
-    readonly told: LoadNews[] = [];
-    readonly placing: Placing;
+    readonly told: LoadUpdate[] = [];
+    readonly placing: PlacementClient;
     private revision = 0;
 
     constructor() {
         const { clock, directory, loads } = this;
-        loads.tell = news => this.told.push(news);
+        loads.publish = news => this.told.push(news);
         const placers = ["p1", "p2", "p3"].map(id => ({
             id,
             address: `${id}:1`,
@@ -56,7 +56,7 @@
             processors: 1,
             places: true,
         }));
-        this.placing = new Placing({
+        this.placing = new PlacementClient({
             clock,
             log: silentLog,
             metrics: new Metrics(),
@@ -64,7 +64,7 @@
             directory,
             cold: new ColdBudget(clock, () => ({ factor: 1, extra: 0 }), { size: 9, rank: () => 5 }),
             limits: new EndpointLimits(clock, silentLog, { known: 9, rank: () => 5 }),
-            placer: new Placer(loads, new FailureView(clock), seededRandom(1)),
+            placer: new EndpointSelector(loads, new FailureTracker(clock), seededRandom(1)),
             loads,
             peers: {
                 placersToAsk: () => placers,
@@ -98,7 +98,7 @@
         return {
             id: "r",
             endsBy: 5_000,
-            need: {
+            requirements: {
                 service,
                 promptTokens: 0,
                 answerTokens: 0,
@@ -115,7 +115,7 @@
     }
 
     answer(endpoint: string, serial = this.asked.at(-1)!.serial): void {
-        this.placing.hear({ type: "Chosen", serial, placement: chosen(endpoint), busyFor: 0 });
+        this.placing.receiveAnswer({ type: "Chosen", serial, placement: chosen(endpoint), busyFor: 0 });
     }
 }
 
@@ -155,7 +155,7 @@
     // Guards against a refusal while this entry knows endpoints that may get work, as a placer has just started.
     const fixture = new Fixture();
     const choice = fixture.placing.choose(fixture.request());
-    fixture.placing.hear({ type: "NoEndpoint", serial: fixture.asked[0]!.serial });
+    fixture.placing.receiveAnswer({ type: "NoEndpoint", serial: fixture.asked[0]!.serial });
     expect((await choice)!.endpoint.record.id).toBe("a");
 });
 
--- a/__tests__/forwarding/stateFollower.test.ts
+++ b/__tests__/forwarding/stateFollower.test.ts
@@ -1,7 +1,7 @@
 /** Following stored objects with the help of other entries: no socket, a store and entries in memory. */
 import { expect, test } from "vitest";
 import { type FollowParts, StateFollower, type StatePeers } from "../../src/core/configuration/stateFollower.js";
-import { StateMirror, type StateNews } from "../../src/core/configuration/stateMirror.js";
+import { StateMirror, type StateUpdate } from "../../src/core/configuration/stateMirror.js";
 import { StateError, StateKind, type StatePort, type StateValues } from "../../src/ports/statePort.js";
 import { systemClock } from "../../src/utils/clock.js";
 import { seededRandom } from "../../src/utils/random.js";
@@ -19,7 +19,7 @@
     newest = 0;
     /** When the store last answered another entry. */
     readAt = -Infinity;
-    news: StateNews<Value> | undefined;
+    news: StateUpdate<Value> | undefined;
     readonly out = new Set<string>();
     readonly ending = new AbortController();
     /** Never answers unless a test says so. */
@@ -33,7 +33,7 @@
         unread: 0,
         readAt: () => this.readAt,
         ahead: (asked, revision) => asked === kind && this.newest > (revision ?? -1),
-        learn: <Kind extends StateKind>() => Promise.resolve(this.news as StateNews<StateValues[Kind]> | undefined),
+        learn: <Kind extends StateKind>() => Promise.resolve(this.news as StateUpdate<StateValues[Kind]> | undefined),
     };
     readonly follower: StateFollower<typeof kind>;
 
@@ -152,20 +152,20 @@
 };
 
 test("changes for who is a little behind", () => {
-    const news = mirrorOf(12, 15, 20).since(12);
+    const news = mirrorOf(12, 15, 20).updateSince(12);
     expect(news).toMatchObject({ type: "Changes", revision: 20 });
     expect(news?.type === "Changes" && news.changes.map(({ name }) => name)).toEqual(["n-15", "n-20"]);
 });
 
 test("everything for who is further behind", () => {
-    const news = mirrorOf(12, 15).since(5);
+    const news = mirrorOf(12, 15).updateSince(5);
     expect(news).toMatchObject({ type: "Snapshot", revision: 15 });
     expect(news?.type === "Snapshot" && news.items.map(({ name }) => name)).toEqual(["old", "n-12", "n-15"]);
 });
 
 test("nothing for who knows all", () => {
-    expect(mirrorOf(12).since(12)).toBeUndefined();
-    expect(new StateMirror<Value>().since(0)).toBeUndefined();
+    expect(mirrorOf(12).updateSince(12)).toBeUndefined();
+    expect(new StateMirror<Value>().updateSince(0)).toBeUndefined();
 });
 
 test("removal counts as a change", () => {
@@ -181,5 +181,5 @@
     // one must give the endpoints the same time.
     const mirror = mirrorOf(12);
     mirror.apply({ revision: 14, changes: [{ ...item("n-12", 12), removed: true }] }, true);
-    expect(mirror.since(12)?.wasAway).toBe(true);
+    expect(mirror.updateSince(12)?.wasAway).toBe(true);
 });
--- a/__tests__/forwarding/storeAway.test.ts
+++ b/__tests__/forwarding/storeAway.test.ts
@@ -5,13 +5,13 @@
 import { Membership } from "../../src/core/membership/membership.js";
 import { Peers } from "../../src/core/membership/peers.js";
 import { PeerState } from "../../src/core/membership/peerState.js";
-import { LoadView } from "../../src/core/placement/loadView.js";
-import { SharedLoads } from "../../src/core/placement/sharedLoads.js";
-import type { KnownRevisions, PeerIdentity, PeerNewsPort } from "../../src/ports/peerNewsPort.js";
+import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
+import { SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
+import type { KnownRevisions, PeerChannelPort, PeerIdentity } from "../../src/ports/peerChannelPort.js";
 import type { PeerStatePort } from "../../src/ports/peerStatePort.js";
 import { StateError, StateKind, type StatePort } from "../../src/ports/statePort.js";
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
-import { within } from "../../src/utils/bounds.js";
+import { withTimeout } from "../../src/utils/bounds.js";
 import type { Milliseconds } from "../../src/utils/clock.js";
 import { silentLog } from "../../src/utils/log.js";
 import { type Random, seededRandom } from "../../src/utils/random.js";
@@ -88,7 +88,7 @@
     ): Promise<Answer> {
         this.calls++;
         try {
-            return await within(this.clock, wait + callMargin, "the store's answer", async () => {
+            return await withTimeout(this.clock, wait + callMargin, "the store's answer", async () => {
                 if (this.silent) {
                     await new Promise<never>(() => {});
                 }
@@ -154,7 +154,7 @@
             clock,
             log: silentLog,
             channel: this.channel(),
-            loads: new SharedLoads(new LoadView(clock, () => undefined), clock),
+            loads: new SharedLoadEstimator(new LoadEstimator(clock, () => undefined), clock),
             tellsLoads: false,
             self,
             dataCentre: `centre-${index % 3}`,
@@ -179,11 +179,13 @@
                 apply: ({ changes }) => changes.forEach(({ revision }) => note(revision)),
             },
         );
-        peers.onChange = change => follower.hear(change);
+        peers.onStateDelta = change => follower.applyDelta(change);
         const ending = new AbortController();
         this.running.set(self.address, { peers, mirror: follower.mirror, learnedAt, ending });
-        peers.listed([...Array(this.count).keys()].map(other => ({ id: `entry-${other}`, address: `a-${other}` })));
-        void peers.sayAlive(ending.signal);
+        peers.applyListing(
+            [...Array(this.count).keys()].map(other => ({ id: `entry-${other}`, address: `a-${other}` })),
+        );
+        void peers.runHeartbeats(ending.signal);
         void follower.run(ending.signal);
     }
 
@@ -200,11 +202,11 @@
         }));
     }
 
-    private channel(): PeerNewsPort {
+    private channel(): PeerChannelPort {
         return {
             send: (addresses, packet) => {
                 for (const address of addresses) {
-                    this.clock.after(newsTime, () => this.running.get(address)?.peers.hear(packet));
+                    this.clock.after(newsTime, () => this.running.get(address)?.peers.receive(packet));
                 }
             },
         };
@@ -213,9 +215,12 @@
     private asking(): PeerStatePort {
         const ask = async (...[address, , revision]: [string, StateKind, number]) => {
             await this.clock.sleep(newsTime);
-            return this.running.get(address)?.mirror.since(revision);
+            return this.running.get(address)?.mirror.updateSince(revision);
+        };
+        return {
+            fetchUpdate: ask as PeerStatePort["fetchUpdate"],
+            fetchWorkInProgress: () => Promise.resolve(undefined),
         };
-        return { ask: ask as PeerStatePort["ask"], askLoads: () => Promise.resolve(undefined) };
     }
 }
 
--- a/__tests__/standins.test.ts
+++ b/__tests__/standins.test.ts
@@ -4,8 +4,8 @@
     absentVersion,
     EnginePriority,
     EngineRequest,
-    exchangeJson,
     ObjectKind,
+    requestJson,
     seededRandom,
     systemClock,
 } from "../src/internal.js";
@@ -135,14 +135,14 @@
     );
     const control = await serveFaults(engine, "127.0.0.1:0");
     const { address } = engine.listener;
-    await exchangeJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "die" });
-    await expect(exchangeJson({ address, method: "GET", path: "/report" })).rejects.toThrow();
-    await exchangeJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "revive" });
+    await requestJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "die" });
+    await expect(requestJson({ address, method: "GET", path: "/report" })).rejects.toThrow();
+    await requestJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "revive" });
     let answer = 0;
     while (answer !== 200) {
-        answer = await exchangeJson({ address, method: "GET", path: "/report" }).then(found => found.status, () => 0);
+        answer = await requestJson({ address, method: "GET", path: "/report" }).then(found => found.status, () => 0);
     }
-    const unknown = await exchangeJson({ address: control.address, method: "POST", path: "/faults" }, {
+    const unknown = await requestJson({ address: control.address, method: "POST", path: "/faults" }, {
         fault: "melt",
     });
     expect(unknown.status).toBe(400);
@@ -163,7 +163,7 @@
     platform.model.faults.lostAnswers = 1;
     const { address } = platform.listener;
     const path = "/objects/profile/a?version=0";
-    await expect(exchangeJson({ address, method: "PUT", path }, { value: {} })).rejects.toThrow();
+    await expect(requestJson({ address, method: "PUT", path }, { value: {} })).rejects.toThrow();
     expect(platform.model.read(ObjectKind.Profile, "a")?.version).toBe(1);
     await platform.listener.close();
 });
@@ -173,7 +173,7 @@
     platform.model.faults.callsPerSecond = 1;
     const { address } = platform.listener;
     const answers = await Promise.all(
-        [1, 2, 3].map(() => exchangeJson({ address, method: "GET", path: "/instances" })),
+        [1, 2, 3].map(() => requestJson({ address, method: "GET", path: "/instances" })),
     );
     expect(answers.map(answer => answer.status).sort()).toEqual([200, 429, 429]);
     expect(platform.model.counts.refused).toBe(2);
--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -1,6 +1,5 @@
 /** Callers of a world, and the oracle: it knows only what callers sent and got, what endpoints ran, what operators were told. */
 import {
-    AnswerPiece,
     Deadline,
     Execution,
     fingerprint,
@@ -9,6 +8,7 @@
     ObjectKind,
     ProvisionalOut,
     RequestFailure,
+    ResponseChunk,
     systemClock,
 } from "../../src/internal.js";
 import { crashMark, expectedAnswer, isCrashing } from "../../src/standins/answer.js";
@@ -120,7 +120,7 @@
         const request = this.begin(entry, timeout, key, undefined);
         const profile = node.configuration.profileOf(node.configuration.service("bookings"));
         const deadlineOf = () => this.deadline(entry, timeout);
-        void this.follow(request, async function*(): AsyncGenerator<AnswerPiece, void> {
+        void this.follow(request, async function*(): AsyncGenerator<ResponseChunk, void> {
             const { answer } = await node.serviceCalls.run({
                 nonIdempotent: true,
                 request: {
@@ -257,7 +257,7 @@
         return request;
     }
 
-    private async follow(request: CallerRequest, run: () => AsyncGenerator<AnswerPiece, void>): Promise<void> {
+    private async follow(request: CallerRequest, run: () => AsyncGenerator<ResponseChunk, void>): Promise<void> {
         const { node } = request.entry;
         let text = "";
         // A process that stands still reads no request before it goes on.
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -25,16 +25,16 @@
     PeerConfiguration,
     PeerLostError,
     PeerPort,
-    PermitAnswer,
+    PermitDecision,
     PermitRequest,
     PlatformError,
     PlatformPort,
     Random,
     seededRandom,
-    ServiceAnswer,
     ServiceLostError,
     ServicePort,
     ServiceRequest,
+    ServiceResponse,
     silentLog,
     StoredObject,
     systemClock,
@@ -367,11 +367,15 @@
         return this.entry.gate.through(serviceReport(this.world.service(address)));
     }
 
-    call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+    call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
         return this.entry.gate.through(this.attempt(this.world.service(address), request, signal));
     }
 
-    private async attempt(service: FakeService, request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+    private async attempt(
+        service: FakeService,
+        request: ServiceRequest,
+        signal: AbortSignal,
+    ): Promise<ServiceResponse> {
         await systemClock.sleep(callMilliseconds);
         if (signal.aborted) {
             throw new ServiceLostError("aborted before the connection", false);
@@ -385,7 +389,7 @@
         return Promise.race([this.run(service, request), cut]);
     }
 
-    private async run(service: FakeService, request: ServiceRequest): Promise<ServiceAnswer> {
+    private async run(service: FakeService, request: ServiceRequest): Promise<ServiceResponse> {
         const at = systemClock.now();
         await service.gate.pass();
         const { lifetime } = service.model;
@@ -416,7 +420,7 @@
         return this.call(address, node => node.configurationSince(revision));
     }
 
-    requestPermit(address: string, request: PermitRequest): Promise<PermitAnswer> {
+    requestPermit(address: string, request: PermitRequest): Promise<PermitDecision> {
         return this.call(address, node => node.coldStart.answer(request));
     }
 
--- a/src/adapters/callers/generationRoutes.ts
+++ b/src/adapters/callers/generationRoutes.ts
@@ -1,7 +1,6 @@
 /** Generations for callers: streamed as server-sent events, or whole. */
 import {
     AnswerHead,
-    AnswerPiece,
     bodyOf,
     CallerExchange,
     customerOf,
@@ -22,6 +21,7 @@
     parseAsk,
     problemOf,
     RequestFailure,
+    ResponseChunk,
     sendJson,
     Service,
     ServiceKind,
@@ -113,8 +113,8 @@
 async function* timed(
     node: EntryNode,
     request: GenerationRequest,
-    pieces: AsyncGenerator<AnswerPiece, void>,
-): AsyncGenerator<AnswerPiece, void> {
+    pieces: AsyncGenerator<ResponseChunk, void>,
+): AsyncGenerator<ResponseChunk, void> {
     const startedAt = node.now();
     let first = true;
     for await (const piece of pieces) {
@@ -134,7 +134,7 @@
 const sendWhole = async (
     exchange: CallerExchange,
     head: AnswerHead,
-    pieces: AsyncGenerator<AnswerPiece, void>,
+    pieces: AsyncGenerator<ResponseChunk, void>,
     request: GenerationRequest,
 ): Promise<void> => {
     const texts: string[] = [];
@@ -153,7 +153,7 @@
     node: EntryNode,
     exchange: CallerExchange,
     head: AnswerHead,
-    pieces: AsyncGenerator<AnswerPiece, void>,
+    pieces: AsyncGenerator<ResponseChunk, void>,
     request: GenerationRequest,
 ): Promise<void> => {
     const { response } = exchange;
@@ -202,7 +202,7 @@
     });
     await Promise.race([drained, node.ports.clock.sleep(request.work.deadline.remaining(), settled.signal)]);
     settled.abort();
-    if (request.work.deadline.passed) {
+    if (request.work.deadline.expired) {
         response.destroy();
     }
 };
--- a/src/adapters/engineClient.ts
+++ b/src/adapters/engineClient.ts
@@ -10,14 +10,14 @@
     EngineRefusal,
     EngineRefusedError,
     EngineRequest,
-    exchange,
     ExchangeError,
-    exchangeJson,
-    IncomingAnswer,
-    JsonAnswer,
+    IncomingResponse,
+    JsonResponse,
     OutgoingRequest,
     readBody,
-    within,
+    requestJson,
+    sendRequest,
+    withTimeout,
 } from "../internal.js";
 
 const callMilliseconds = 1_500;
@@ -34,7 +34,7 @@
 };
 
 /** Splits a body into frames, one JSON line each. Throws {@link EngineLostError} when the connection fails. */
-async function* readFrames(answer: IncomingAnswer): AsyncGenerator<EngineFrame, void> {
+async function* readFrames(answer: IncomingResponse): AsyncGenerator<EngineFrame, void> {
     let rest = "";
     answer.body.setEncoding("utf8");
     try {
@@ -113,7 +113,7 @@
         opening.addEventListener("abort", end, { once: true });
         signal.addEventListener("abort", end, { once: true });
         try {
-            const answer = await exchange({ ...request, signal: connection.signal });
+            const answer = await sendRequest({ ...request, signal: connection.signal });
             if (answer.status !== 200) {
                 const text = (await readBody(answer.body, refusalLimitBytes)).toString("utf8");
                 throw refusalOf(request.address, answer.status, text);
@@ -126,14 +126,14 @@
         }
     }
 
-    private async call(address: string, method: string, path: string, value?: unknown): Promise<JsonAnswer> {
-        let answer: JsonAnswer;
+    private async call(address: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
+        let answer: JsonResponse;
         try {
-            answer = await within(
+            answer = await withTimeout(
                 this.clock,
                 callMilliseconds,
                 `${method} ${path}`,
-                signal => exchangeJson({ address, method, path, signal }, value),
+                signal => requestJson({ address, method, path, signal }, value),
             );
         }
         catch (error) {
--- a/src/adapters/forwarding/callerPort.ts
+++ b/src/adapters/forwarding/callerPort.ts
@@ -4,14 +4,14 @@
 import { match } from "ts-pattern";
 import type { RouteTable } from "../../core/configuration/routeTable.js";
 import { Execution, FailureKind, RequestFailure } from "../../core/failures.js";
-import type { AnswerHead, CallerExchange, CallerHead } from "../../ports/forwardingPorts.js";
+import type { CallerExchange, RequestHead, ResponseHead } from "../../ports/forwardingPorts.js";
 import { splitAddress } from "../../utils/address.js";
 import { BodyTooSlowError, collectBody } from "../../utils/bodies.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { BodyTooLargeError, DandelionrampError, describeError } from "../../utils/errors.js";
 import { headerBytes } from "../../utils/headers.js";
 import type { PartLog } from "../../utils/log.js";
-import { cancel } from "../../utils/signal.js";
+import { abortQuietly } from "../../utils/signal.js";
 import { problemOf } from "../callers/problem.js";
 import type { ForwardingWire } from "./wireNames.js";
 
@@ -130,23 +130,23 @@
 
     constructor(
         private readonly parts: CallerPortParts,
-        readonly head: CallerHead,
+        readonly head: RequestHead,
         private readonly request: http.IncomingMessage,
         private readonly response: http.ServerResponse,
     ) {
         response.once("close", () => {
             if (!response.writableFinished) {
-                cancel(this.leaving);
+                abortQuietly(this.leaving);
             }
         });
-        request.once("error", () => cancel(this.leaving));
+        request.once("error", () => abortQuietly(this.leaving));
         response.on("error", error => {
             this.parts.log.info("A caller's connection failed.", { requestId: head.id, error: describeError(error) });
-            cancel(this.leaving);
+            abortQuietly(this.leaving);
         });
     }
 
-    get left(): AbortSignal {
+    get disconnected(): AbortSignal {
         return this.leaving.signal;
     }
 
@@ -163,12 +163,12 @@
         }
     }
 
-    answer(head: AnswerHead, body: Buffer): void {
+    respond(head: ResponseHead, body: Buffer): void {
         this.writeHead(head);
         this.response.end(this.head.method === "HEAD" ? undefined : body);
     }
 
-    begin(head: AnswerHead): void {
+    beginStream(head: ResponseHead): void {
         this.writeHead(head);
     }
 
@@ -178,25 +178,25 @@
         }
         return new Promise((resolve, reject) => {
             const leave = () => reject(new CallerLeftError());
-            this.left.addEventListener("abort", leave, { once: true });
+            this.disconnected.addEventListener("abort", leave, { once: true });
             this.response.once("drain", () => {
-                this.left.removeEventListener("abort", leave);
+                this.disconnected.removeEventListener("abort", leave);
                 resolve();
             });
         });
     }
 
-    end(): void {
+    endStream(): void {
         this.response.end();
     }
 
-    cut(): void {
+    abortStream(): void {
         this.response.destroy();
     }
 
     fail(failure: RequestFailure): void {
         if (this.response.headersSent) {
-            this.cut();
+            this.abortStream();
             return;
         }
         const text = JSON.stringify(problemOf(failure, this.head.id));
@@ -226,7 +226,7 @@
         this.fail(failure);
     }
 
-    private writeHead({ status, headers }: AnswerHead): void {
+    private writeHead({ status, headers }: ResponseHead): void {
         const all = [...headers];
         if (this.parts.stopping()) {
             all.push("Connection", "close");
--- a/src/adapters/forwarding/endpointClient.ts
+++ b/src/adapters/forwarding/endpointClient.ts
@@ -1,11 +1,11 @@
 /** Sends orders to endpoints over HTTP, and says plainly what became of each. */
 import http from "node:http";
 import {
-    type AnswerHead,
-    type EndpointOrder,
-    type EndpointOutcome,
+    type AttemptOutcome,
+    type EndpointAttempt,
     type EndpointPort,
     RefusalReason,
+    type ResponseHead,
     StreamBrokenError,
 } from "../../ports/forwardingPorts.js";
 import { splitAddress } from "../../utils/address.js";
@@ -30,7 +30,7 @@
 
     constructor(private readonly wire: ForwardingWire, private readonly clock: Clock) {}
 
-    send(order: EndpointOrder, signal: AbortSignal): Promise<EndpointOutcome> {
+    send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
         return new Promise(resolve => new Exchange(this.wire, this.clock, order, signal, resolve).start(this.agent));
     }
 }
@@ -49,14 +49,14 @@
     constructor(
         private readonly wire: ForwardingWire,
         private readonly clock: Clock,
-        private readonly order: EndpointOrder,
+        private readonly order: EndpointAttempt,
         private readonly signal: AbortSignal,
-        private readonly resolve: (outcome: EndpointOutcome) => void,
+        private readonly resolve: (outcome: AttemptOutcome) => void,
     ) {}
 
     start(agent: http.Agent): void {
         if (this.signal.aborted) {
-            this.settle({ type: "Unreached", reason: "cancelled", nobodyListens: false });
+            this.settle({ type: "Unreached", reason: "cancelled", connectionRefused: false });
             return;
         }
         const request = this.open(agent);
@@ -115,11 +115,15 @@
         if (!this.answered) {
             const reason = this.lost ?? "the connection closed";
             const { nobodyListens } = this;
-            this.settle(this.connected ? { type: "Broken", reason } : { type: "Unreached", reason, nobodyListens });
+            this.settle(
+                this.connected
+                    ? { type: "Broken", reason }
+                    : { type: "Unreached", reason, connectionRefused: nobodyListens },
+            );
         }
     }
 
-    private settle(outcome: EndpointOutcome): void {
+    private settle(outcome: AttemptOutcome): void {
         if (!this.settled) {
             this.settled = true;
             this.resolve(outcome);
@@ -167,7 +171,7 @@
     private async receiveWhole(
         request: http.ClientRequest,
         response: http.IncomingMessage,
-        head: AnswerHead,
+        head: ResponseHead,
         limitPerSecond: number | undefined,
     ): Promise<void> {
         try {
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -4,11 +4,11 @@
 import { EntryCore } from "../../core/entryCore.js";
 import type { PlannedStop } from "../../core/forwarding/forwardingParts.js";
 import type { EndpointDirectory } from "../../core/membership/endpointDirectory.js";
-import { EntryList } from "../../core/membership/entryList.js";
+import { EntryDiscovery } from "../../core/membership/entryDiscovery.js";
 import { PeerState } from "../../core/membership/peerState.js";
-import type { EndpointLoad } from "../../core/placement/loadView.js";
+import type { EndpointLoad } from "../../core/placement/loadEstimator.js";
 import type { MemoryPort } from "../../ports/memoryPort.js";
-import type { KnownRevisions, PeerIdentity, ReadAges } from "../../ports/peerNewsPort.js";
+import type { KnownRevisions, PeerIdentity, ReadAges } from "../../ports/peerChannelPort.js";
 import { StateKind, type StatePort, type StateSink } from "../../ports/statePort.js";
 import type { RoutingConfiguration } from "../../types/routing.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
@@ -78,7 +78,7 @@
     private questions: Listener | undefined;
     private readonly followers: Followers;
     private readonly asking: PeerStateClient;
-    private entryList: EntryList | undefined;
+    private entryList: EntryDiscovery | undefined;
     private plannedStop: PlannedStop | undefined;
 
     constructor(private settings: ForwardingSettings, private readonly parts: ForwardingEntryParts) {
@@ -87,7 +87,7 @@
         const { instance, listen } = settings;
         const { dataCentre } = instance;
         this.self = { id: instance.id, address: listen.peers, incarnation: randomIdentifier(random) };
-        this.peerSocket = new PeerSocket(log("peers"), packet => this.core.peers.hear(packet));
+        this.peerSocket = new PeerSocket(log("peers"), packet => this.core.peers.receive(packet));
         this.core = new EntryCore({
             clock,
             random,
@@ -119,11 +119,11 @@
         this.followers = {
             [Configuration]: new StateFollower(follow, Configuration, this.configurationSink()),
             [Endpoints]: new StateFollower(follow, Endpoints, this.core.directory),
-            [DataCentresOut]: new StateFollower(follow, DataCentresOut, this.core.directory.out),
+            [DataCentresOut]: new StateFollower(follow, DataCentresOut, this.core.directory.excludedDataCentres),
         };
-        peers.onChange = change => {
+        peers.onStateDelta = change => {
             if (change.kind !== StateKind.Entries) {
-                this.followers[change.kind].hear(change);
+                this.followers[change.kind].applyDelta(change);
             }
         };
         this.callers = new CallerPort({
@@ -166,7 +166,7 @@
             address => this.peerSocket.listen(address),
         );
         this.self.address = this.questions.address;
-        this.run("the heartbeat", this.core.peers.sayAlive(this.ending.signal));
+        this.run("the heartbeat", this.core.peers.runHeartbeats(this.ending.signal));
         this.run("finding entries", this.meetPeers());
         for (const follower of Object.values(this.followers)) {
             this.run("following the store", follower.run(this.ending.signal));
@@ -200,7 +200,7 @@
         const begun = clock.now();
         const endsAt = begun + this.settings.stop.graceSeconds * 1_000 - stopMargin;
         this.plannedStop = { begunAt: begun, endsAt };
-        this.core.peers.sayStopping();
+        this.core.peers.publishStopping();
         if (this.entryList) {
             this.run("leaving the list of entries", this.entryList.withdraw(this.ending.signal));
         }
@@ -234,7 +234,7 @@
 
     private readonly knowledge: PeerKnowledge = {
         stateSince: (kind, revision) =>
-            kind === StateKind.Entries ? undefined : this.followers[kind].mirror.since(revision),
+            kind === StateKind.Entries ? undefined : this.followers[kind].mirror.updateSince(revision),
         loadsInProgress: () => this.core.loads.inProgress(),
         stamp: () => Object.values(this.followers).map(({ mirror }) => mirror.revision).join(","),
     };
@@ -247,13 +247,13 @@
         const { random } = this.parts;
         const { peers } = this.core;
         const { everyone, others } = peers.placers();
-        const knowing = everyone ? peers.others().map(({ identity }) => identity) : others;
+        const knowing = everyone ? peers.livingPeers().map(({ identity }) => identity) : others;
         const asked = knowing.map(({ address }) => ({ address, order: random.next() }))
             .sort((left, right) => left.order - right.order).slice(0, loadsAskedAtMost);
         for (const { address } of asked) {
-            const works = await this.asking.askLoads(address, loadsAnswerAtMost);
+            const works = await this.asking.fetchWorkInProgress(address, loadsAnswerAtMost);
             if (works && works.length > 0) {
-                this.core.loads.learn(works);
+                this.core.loads.merge(works);
                 this.log.info("The work in progress was learned.", { from: address, works: works.length });
                 return;
             }
@@ -275,7 +275,7 @@
         const { store, clock, log } = this.parts;
         const { signal } = this.ending;
         const { peers, membership } = this.core;
-        this.entryList = new EntryList({
+        this.entryList = new EntryDiscovery({
             store,
             peers,
             membership,
@@ -301,10 +301,10 @@
         let learned = false;
         for (const begun = clock.now(); !signal.aborted;) {
             const { self } = peers.placers();
-            if (self && !learned && peers.living > 1) {
+            if (self && !learned && peers.livingCount > 1) {
                 await this.learnLoads();
             }
-            learned = self && peers.living > 1;
+            learned = self && peers.livingCount > 1;
             await clock.sleep(clock.now() - begun < startTime ? startLook : placingLook, signal);
         }
     }
@@ -317,7 +317,7 @@
             caller_connections: this.callers.connections,
             configuration_version: this.configuration.version,
             ...this.unreadGauges(),
-            living_entries: this.core.peers.living,
+            living_entries: this.core.peers.livingCount,
             counted_entries: this.core.membership.size,
             limited_endpoints: this.core.limits.count,
             resident_memory_bytes: process.memoryUsage.rss(),
--- a/src/adapters/forwarding/peerSocket.ts
+++ b/src/adapters/forwarding/peerSocket.ts
@@ -2,9 +2,9 @@
 import { JSONRPCClient, type JSONRPCRequest, JSONRPCServer } from "json-rpc-2.0";
 import dgram from "node:dgram";
 import * as z from "zod";
-import { WorkPart } from "../../core/placement/engineBelief.js";
-import { EndpointFate } from "../../core/placement/failureView.js";
-import { PassOn, type PeerNewsPort, type PeerPacket } from "../../ports/peerNewsPort.js";
+import { WorkPart } from "../../core/placement/engineEstimate.js";
+import { SendResult } from "../../core/placement/failureTracker.js";
+import { type PeerChannelPort, type PeerPacket, RelayScope } from "../../ports/peerChannelPort.js";
 import { StateKind } from "../../ports/statePort.js";
 import { splitAddress } from "../../utils/address.js";
 import { describeError } from "../../utils/errors.js";
@@ -98,7 +98,7 @@
         z.object({ type: z.literal("Ended"), endpoints: z.array(z.string()), id: z.string() }),
         z.object({ type: z.literal("Alive"), inProgress: z.array(z.string()).optional(), status }),
         z.object({ type: z.literal("StoreRead"), known, readAges, change: change.optional() }),
-        z.object({ type: z.literal("Outcome"), endpoint: z.string(), fate: z.enum(EndpointFate) }),
+        z.object({ type: z.literal("Outcome"), endpoint: z.string(), fate: z.enum(SendResult) }),
         z.object({ type: z.literal("PlacementAsked"), question }),
         z.object({ type: z.literal("PlacementAnswered"), answer }),
         z.object({ type: z.literal("Stopping") }),
@@ -108,10 +108,10 @@
 });
 /** Changes with each incompatible change of what is told; entries of another version are not understood. */
 const formatVersion = 4;
-const packet = z.object({ format: z.literal(formatVersion), messages: z.array(message), passOn: z.enum(PassOn) });
+const packet = z.object({ format: z.literal(formatVersion), messages: z.array(message), passOn: z.enum(RelayScope) });
 
 /** The channel to the other entries. */
-export class PeerSocket implements PeerNewsPort {
+export class PeerSocket implements PeerChannelPort {
     private readonly socket = dgram.createSocket("udp4");
     private readonly server = new JSONRPCServer({ errorListener: () => {} });
     private addresses: readonly string[] = [];
--- a/src/adapters/forwarding/peerStateServer.ts
+++ b/src/adapters/forwarding/peerStateServer.ts
@@ -2,15 +2,15 @@
 import { JSONRPCClient, type JSONRPCRequest, type JSONRPCResponse, JSONRPCServer } from "json-rpc-2.0";
 import { constants, gzipSync } from "node:zlib";
 import * as z from "zod";
-import type { StateNews } from "../../core/configuration/stateMirror.js";
-import { WorkPart } from "../../core/placement/engineBelief.js";
-import { type WorkInProgress } from "../../core/placement/loadView.js";
+import type { StateUpdate } from "../../core/configuration/stateMirror.js";
+import { WorkPart } from "../../core/placement/engineEstimate.js";
+import { type WorkInProgress } from "../../core/placement/loadEstimator.js";
 import type { PeerStatePort } from "../../ports/peerStatePort.js";
 import { StateKind, type StateValues } from "../../ports/statePort.js";
-import { within } from "../../utils/bounds.js";
+import { withTimeout } from "../../utils/bounds.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { describeError } from "../../utils/errors.js";
-import { exchangeJson, readBody } from "../../utils/httpClient.js";
+import { readBody, requestJson } from "../../utils/httpClient.js";
 import { listen, type Listener, sendJson } from "../../utils/httpServer.js";
 import type { PartLog } from "../../utils/log.js";
 
@@ -54,7 +54,7 @@
 /** What this entry knows that others ask for. */
 export interface PeerKnowledge {
     /** What is known of a kind after a revision. */
-    stateSince(kind: StateKind, revision: number): StateNews<unknown> | undefined;
+    stateSince(kind: StateKind, revision: number): StateUpdate<unknown> | undefined;
     loadsInProgress(): WorkInProgress[];
     /** Differs whenever an answer to {@link stateSince} may differ. */
     stamp(): string;
@@ -122,19 +122,19 @@
 export class PeerStateClient implements PeerStatePort {
     constructor(private readonly clock: Clock, private readonly log: PartLog) {}
 
-    async ask<Kind extends StateKind>(
+    async fetchUpdate<Kind extends StateKind>(
         address: string,
         kind: Kind,
         revision: number,
         limit: Milliseconds,
-    ): Promise<StateNews<StateValues[Kind]> | undefined> {
+    ): Promise<StateUpdate<StateValues[Kind]> | undefined> {
         const question = { format: formatVersion, kind, revision };
         const answer = answerSchema.safeParse(await this.call(address, stateMethod, question, limit));
         // The values were decoded by an entry of the same format.
-        return answer.success ? answer.data as StateNews<StateValues[Kind]> : undefined;
+        return answer.success ? answer.data as StateUpdate<StateValues[Kind]> : undefined;
     }
 
-    async askLoads(address: string, limit: Milliseconds): Promise<WorkInProgress[] | undefined> {
+    async fetchWorkInProgress(address: string, limit: Milliseconds): Promise<WorkInProgress[] | undefined> {
         const answer = loadsSchema.safeParse(await this.call(address, loadsMethod, {}, limit));
         return answer.success
             ? answer.data.works.map(({ targetGap, firstEventIn, ...work }) => ({ ...work, targetGap, firstEventIn }))
@@ -149,8 +149,8 @@
         limit: Milliseconds,
     ): Promise<unknown> {
         const client = new JSONRPCClient(async (request: JSONRPCRequest) => {
-            const send = (signal: AbortSignal) => exchangeJson({ address, method: "POST", path: "/", signal }, request);
-            const { value } = await within(this.clock, limit, "another entry's answer", send);
+            const send = (signal: AbortSignal) => requestJson({ address, method: "POST", path: "/", signal }, request);
+            const { value } = await withTimeout(this.clock, limit, "another entry's answer", send);
             client.receive(value as JSONRPCResponse);
         });
         try {
--- a/src/adapters/forwarding/wireNames.ts
+++ b/src/adapters/forwarding/wireNames.ts
@@ -1,9 +1,9 @@
 /** What the sockets of forwarding need to know of a deployment's wire: filled in by the deployment's own folder. */
-import type { CallerHead, EndpointOrder, HeaderList } from "../../ports/forwardingPorts.js";
+import type { EndpointAttempt, HeaderList, RequestHead } from "../../ports/forwardingPorts.js";
 import type { Milliseconds } from "../../utils/clock.js";
 
 /** What the headers of a caller's request say, beside method and path. */
-export type CallerFacts = Omit<CallerHead, "id" | "method" | "target" | "arrivedAt"> & { id: string | undefined; };
+export type CallerFacts = Omit<RequestHead, "id" | "method" | "target" | "arrivedAt"> & { id: string | undefined; };
 
 /** What the headers of an endpoint's answer say. */
 export interface AnswerFacts {
@@ -30,6 +30,6 @@
     readonly requestIdHeader: string;
     readCaller(rawHeaders: HeaderList): CallerFacts;
     /** Headers of an order, without those of its connection. */
-    orderHeaders(order: EndpointOrder): string[];
+    orderHeaders(order: EndpointAttempt): string[];
     readAnswer(rawHeaders: HeaderList): AnswerFacts;
 }
--- a/src/adapters/peerClient.ts
+++ b/src/adapters/peerClient.ts
@@ -4,16 +4,16 @@
     ClaimProgress,
     Clock,
     describeError,
-    exchangeJson,
     Heartbeat,
     KeyHistory,
     PeerConfiguration,
     PeerLostError,
     PeerMethod,
     PeerPort,
-    PermitAnswer,
+    PermitDecision,
     PermitRequest,
-    within,
+    requestJson,
+    withTimeout,
 } from "../internal.js";
 
 const callMilliseconds = 800;
@@ -32,7 +32,7 @@
         return this.call(address, PeerMethod.ConfigurationSince, { revision });
     }
 
-    requestPermit(address: string, request: PermitRequest): Promise<PermitAnswer> {
+    requestPermit(address: string, request: PermitRequest): Promise<PermitDecision> {
         return this.call(address, PeerMethod.RequestPermit, { request });
     }
 
@@ -54,7 +54,7 @@
 
     private async call<Result>(address: string, method: PeerMethod, parameters: object): Promise<Result> {
         try {
-            return await within(
+            return await withTimeout(
                 this.clock,
                 callMilliseconds,
                 `the peer's ${method}`,
@@ -77,11 +77,11 @@
 
     private newClient(address: string): JSONRPCClient {
         const client: JSONRPCClient = new JSONRPCClient(async payload => {
-            const answer = await within(
+            const answer = await withTimeout(
                 this.clock,
                 callMilliseconds,
                 "a peer",
-                signal => exchangeJson({ address, method: "POST", path: "/rpc", signal }, payload),
+                signal => requestJson({ address, method: "POST", path: "/rpc", signal }, payload),
             );
             client.receive(answer.value as JSONRPCResponse);
         });
--- a/src/adapters/platformClient.ts
+++ b/src/adapters/platformClient.ts
@@ -2,16 +2,16 @@
 import {
     Clock,
     describeError,
-    exchangeJson,
     InstanceRecord,
-    JsonAnswer,
+    JsonResponse,
     Milliseconds,
     ObjectKind,
     ObjectPage,
     PlatformError,
     PlatformPort,
+    requestJson,
     StoredObject,
-    within,
+    withTimeout,
     WriteOutcome,
 } from "../internal.js";
 
@@ -62,14 +62,14 @@
         this.expect(await this.call("PUT", path, callMilliseconds, record), 200);
     }
 
-    private outcome(answer: JsonAnswer): WriteOutcome {
+    private outcome(answer: JsonResponse): WriteOutcome {
         if (answer.status === 409) {
             return { type: "Conflict", current: (answer.value as { current?: StoredObject; }).current };
         }
         return { type: "Written", version: this.expect<{ version: number; }>(answer, 200).version };
     }
 
-    private expect<Value>(answer: JsonAnswer, status: number): Value {
+    private expect<Value>(answer: JsonResponse, status: number): Value {
         if (answer.status !== status) {
             // An answered refusal changed nothing, except that a failing store may not know.
             throw new PlatformError(`the platform answered ${answer.status}`, answer.status >= 500);
@@ -83,13 +83,13 @@
         limit: Milliseconds,
         value?: unknown,
         signal?: AbortSignal,
-    ): Promise<JsonAnswer> {
+    ): Promise<JsonResponse> {
         try {
-            return await within(
+            return await withTimeout(
                 this.clock,
                 limit,
                 `the platform's ${method}`,
-                inner => exchangeJson({ address: this.address, method, path, signal: inner }, value),
+                inner => requestJson({ address: this.address, method, path, signal: inner }, value),
                 signal,
             );
         }
--- a/src/adapters/serviceClient.ts
+++ b/src/adapters/serviceClient.ts
@@ -4,16 +4,16 @@
     Clock,
     describeError,
     EndpointReport,
-    exchange,
     ExchangeError,
-    exchangeJson,
     readBody,
-    ServiceAnswer,
+    requestJson,
+    sendRequest,
     ServiceLostError,
     ServicePort,
     ServiceRefusedError,
     ServiceRequest,
-    within,
+    ServiceResponse,
+    withTimeout,
 } from "../internal.js";
 
 const reportMillisecondsAtMost = 1_500;
@@ -37,11 +37,11 @@
     constructor(private readonly clock: Clock) {}
 
     async report(address: string): Promise<EndpointReport> {
-        const answer = await within(
+        const answer = await withTimeout(
             this.clock,
             reportMillisecondsAtMost,
             "a service's report",
-            signal => exchangeJson({ address, method: "GET", path: "/report", signal }),
+            signal => requestJson({ address, method: "GET", path: "/report", signal }),
         );
         if (answer.status !== 200) {
             throw new ServiceLostError(`${address} answered ${answer.status}`, true);
@@ -49,9 +49,9 @@
         return answer.value as EndpointReport;
     }
 
-    async call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+    async call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
         try {
-            const answer = await exchange({
+            const answer = await sendRequest({
                 address,
                 method: request.method,
                 path: request.path,
--- a/src/commands/operator/index.ts
+++ b/src/commands/operator/index.ts
@@ -1,7 +1,7 @@
 /** `dandelionramp`: what operators do, through the operators' port of any entry. */
 import { Args, Flags } from "@oclif/core";
 import { readFileSync } from "node:fs";
-import { configurationKinds, describeError, exchangeJson, JsonAnswer, SettingsError } from "../../internal.js";
+import { configurationKinds, describeError, JsonResponse, requestJson, SettingsError } from "../../internal.js";
 import LossesCommand from "../losses.js";
 import { ProgramCommand, usageExitCode } from "../program.js";
 
@@ -19,9 +19,9 @@
 const nameArgument = Args.string({ description: "name of the object", required: true });
 
 abstract class OperatorCommand extends ProgramCommand {
-    protected async ask(entry: string, method: string, path: string, value?: unknown): Promise<JsonAnswer> {
+    protected async ask(entry: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
         try {
-            return await exchangeJson({ address: entry, method, path }, value);
+            return await requestJson({ address: entry, method, path }, value);
         }
         catch (error) {
             return this.error(`the entry at ${entry} does not answer: ${describeError(error)}`, {
@@ -31,7 +31,7 @@
     }
 
     /** Prints a read's answer, or ends with its error. */
-    protected show(answer: JsonAnswer, json: boolean, text: (value: never) => string): void {
+    protected show(answer: JsonResponse, json: boolean, text: (value: never) => string): void {
         if (answer.status !== 200) {
             this.error((answer.value as { error: string; }).error, { exit: failedExitCode });
         }
@@ -39,7 +39,7 @@
     }
 
     /** Prints what became of a change, or ends with its error. */
-    protected report(answer: JsonAnswer, subject: string): void {
+    protected report(answer: JsonResponse, subject: string): void {
         const outcome = answer.value as {
             type?: string;
             version?: number;
--- a/src/commands/standin/index.ts
+++ b/src/commands/standin/index.ts
@@ -4,11 +4,11 @@
 import { dirname, resolve } from "node:path";
 import * as z from "zod";
 import {
-    exchangeJson,
     InstanceRecord,
     InstanceRole,
     InstanceState,
     readSettings,
+    requestJson,
     setting,
     SettingsError,
     StoredObject,
@@ -87,7 +87,7 @@
 const keepListed = async (platformAddress: string, record: () => InstanceRecord): Promise<never> => {
     while (true) {
         const path = `/instances/${encodeURIComponent(record().id)}`;
-        const put = exchangeJson({ address: platformAddress, method: "PUT", path }, record());
+        const put = requestJson({ address: platformAddress, method: "PUT", path }, record());
         const listed = await put.then(answer => answer.status === 200, () => false);
         await systemClock.sleep(listed ? listAgainMilliseconds : listRetryMilliseconds);
     }
--- a/src/commands/timelineMerge.ts
+++ b/src/commands/timelineMerge.ts
@@ -1,5 +1,5 @@
 /** Merges the time lines of several processes into one, corrected for the offsets of their clocks. */
-import { Clock, exchangeJson, Milliseconds, TimelineEvent, TimelinePage } from "../internal.js";
+import { Clock, Milliseconds, requestJson, TimelineEvent, TimelinePage } from "../internal.js";
 
 /** One process's events with the offset of its clock against the collector's. */
 export interface CollectedPage {
@@ -15,7 +15,7 @@
 /** Reads one process. The offset assumes that both ways of the exchange took the same time. */
 export const collect = async (clock: Clock, address: string, from = 0): Promise<CollectedPage> => {
     const askedAt = clock.wallTime();
-    const answer = await exchangeJson({ address, method: "GET", path: `/events?from=${from}` });
+    const answer = await requestJson({ address, method: "GET", path: `/events?from=${from}` });
     const middle = (askedAt + clock.wallTime()) / 2;
     const page = answer.value as TimelinePage;
     return { page, offset: page.wallTime - middle };
--- a/src/core/budgets/coldBudget.ts
+++ b/src/core/budgets/coldBudget.ts
@@ -50,7 +50,7 @@
     }
 
     /** Notes a request sent to any endpoint; one may turn out to have been cold already. */
-    note(endpoint: string): void {
+    recordSent(endpoint: string): void {
         this.sent.add(endpoint);
     }
 }
--- a/src/core/budgets/endpointLimits.ts
+++ b/src/core/budgets/endpointLimits.ts
@@ -5,7 +5,7 @@
  * keeps to a share, and the sum holds whatever happens to the messages between them. The newest word of an endpoint holds,
  * whichever entry heard it.
  */
-import type { ToldLimit } from "../../ports/peerNewsPort.js";
+import type { AdvertisedLimit } from "../../ports/peerChannelPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { KeyedWindows } from "../../utils/keyedWindows.js";
 import type { PartLog } from "../../utils/log.js";
@@ -76,17 +76,17 @@
     }
 
     /** Time until this entry's share of what `endpoint` takes has room again. */
-    roomIn(endpoint: string): Milliseconds {
-        return this.sends.freesIn(endpoint);
+    timeUntilCapacity(endpoint: string): Milliseconds {
+        return this.sends.timeUntilExpiry(endpoint);
     }
 
     /** Notes a request sent to any endpoint; its answer may name a limit. */
-    noteSent(endpoint: string): void {
+    recordSent(endpoint: string): void {
         this.sends.add(endpoint);
     }
 
     /** Notes that an answer names a limit. */
-    named(endpoint: string, perSecond: number): void {
+    recordLimit(endpoint: string, perSecond: number): void {
         this.take(endpoint, { perSecond, at: this.clock.now() });
     }
 
@@ -94,7 +94,7 @@
      * Notes an answer without a limit to a request that was sent at `sentAt`. An answer that was under way when the endpoint
      * named its limit doesn't lift it.
      */
-    unnamed(endpoint: string, sentAt: Milliseconds): void {
+    recordNoLimit(endpoint: string, sentAt: Milliseconds): void {
         const word = this.words.get(endpoint);
         if (word?.perSecond !== undefined && sentAt > word.at) {
             this.take(endpoint, { perSecond: undefined, at: this.clock.now() });
@@ -102,9 +102,9 @@
     }
 
     /** What the other entries are told. */
-    told(): ToldLimit[] {
+    snapshot(): AdvertisedLimit[] {
         const now = this.clock.now();
-        const told: ToldLimit[] = [];
+        const told: AdvertisedLimit[] = [];
         for (const [endpoint, { perSecond, at }] of this.words) {
             if (now - at >= forgottenAfter) {
                 this.words.delete(endpoint);
@@ -116,7 +116,7 @@
     }
 
     /** Takes what another entry tells. */
-    learn(told: readonly ToldLimit[]): void {
+    merge(told: readonly AdvertisedLimit[]): void {
         const now = this.clock.now();
         for (const { endpoint, perSecond, age } of told) {
             const at = now - age;
--- a/src/core/budgets/repeatBudget.ts
+++ b/src/core/budgets/sharedRetryBudget.ts
@@ -3,7 +3,7 @@
 import { KeyedWindows } from "../../utils/keyedWindows.js";
 
 /** What all entries together may send again. */
-export interface RepeatLimits {
+export interface RetryLimits {
     /** Share of the requests of the window. */
     share: number;
     window: Milliseconds;
@@ -21,13 +21,13 @@
  * would notice sends growing while answers fall. The share counts own requests only, and the extra is divided by the
  * number of entries, so that the sum over all entries holds without asking anybody.
  */
-export class RepeatBudget {
+export class SharedRetryBudget {
     private readonly requests: KeyedWindows;
     private readonly repeats: KeyedWindows;
 
     constructor(
         clock: Clock,
-        private readonly limits: () => RepeatLimits,
+        private readonly limits: () => RetryLimits,
         private readonly entries: () => number,
     ) {
         this.requests = new KeyedWindows(clock, () => limits().window);
@@ -35,12 +35,12 @@
     }
 
     /** Notes a caller's request for `service`. */
-    request(service: string): void {
+    recordRequest(service: string): void {
         this.requests.add(service);
     }
 
     /** Takes one repeat; false when the budget is spent. */
-    take(service: string): boolean {
+    tryTake(service: string): boolean {
         const requests = this.requests.count(service);
         const { share, extra } = this.limits();
         const allowed = usedPart * (share * requests + extra / this.entries());
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -22,12 +22,12 @@
     randomIdentifier,
     rendezvous,
     RequestFailure,
-    ServiceAnswer,
+    ServiceResponse,
     StoredObject,
     TimeLimitError,
     Timeline,
-    within,
-    withinOrUndefined,
+    withTimeout,
+    withTimeoutOrUndefined,
 } from "../internal.js";
 
 /** Bound on settling a claim before the call: past it the platform counts as down. */
@@ -89,7 +89,7 @@
 /** What claiming led to. */
 export type ClaimOutcome =
     | { type: "Held"; claim: HeldClaim; }
-    | { type: "Answered"; answer: ServiceAnswer; };
+    | { type: "Answered"; answer: ServiceResponse; };
 
 /** What claims work with. */
 export interface ClaimsParts {
@@ -145,7 +145,7 @@
         const value = this.newClaim(bodyFingerprint);
         this.running.add(value.nonce);
         try {
-            const outcome = await within(
+            const outcome = await withTimeout(
                 this.parts.clock,
                 deadline.remaining(),
                 "settling a claim",
@@ -184,10 +184,10 @@
     }
 
     /** Keeps the answer for repeats; returns when it is kept or after a bound, and goes on in the background. */
-    async keep(claim: HeldClaim, answer: ServiceAnswer | undefined): Promise<void> {
+    async keep(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
         const value: ClaimValue = { ...claim.value, ...this.outcomeOf(answer) };
         const kept = this.writeOutcome(claim, value).finally(() => this.running.delete(claim.value.nonce));
-        await withinOrUndefined(this.parts.clock, keepMilliseconds, "keeping an answer", () => kept);
+        await withTimeoutOrUndefined(this.parts.clock, keepMilliseconds, "keeping an answer", () => kept);
     }
 
     /** Answers a peer that found a claim of this entry. */
@@ -344,7 +344,7 @@
         found: StoredObject | undefined,
         own: ClaimValue,
         deadline: Deadline,
-    ): Promise<{ type: "Answered"; answer: ServiceAnswer; } | { type: "TakeOver"; takeOverVersion: number; }> {
+    ): Promise<{ type: "Answered"; answer: ServiceResponse; } | { type: "TakeOver"; takeOverVersion: number; }> {
         let current = found;
         while (true) {
             const value = current?.value as ClaimValue | undefined;
@@ -364,7 +364,7 @@
             if (await this.holderProgress(value, current.name) === ClaimProgress.Released) {
                 return { type: "TakeOver", takeOverVersion: current.version };
             }
-            if (deadline.passed) {
+            if (deadline.expired) {
                 throw outcomeUnknown("the first call with this key has not ended yet");
             }
             await this.parts.clock.sleep(deadline.bounded(pollMilliseconds));
@@ -380,7 +380,7 @@
             if (!(error instanceof PlatformError)) {
                 throw error;
             }
-            if (deadline.passed) {
+            if (deadline.expired) {
                 throw outcomeUnknown("the platform can't say what became of the first call with this key");
             }
             return current;
@@ -412,7 +412,7 @@
         }
     }
 
-    private keptAnswer(value: ClaimValue): ServiceAnswer {
+    private keptAnswer(value: ClaimValue): ServiceResponse {
         const { answer } = value;
         if (!answer) {
             const detail = "the first call with this key ran; its answer was too large to be kept";
@@ -425,7 +425,7 @@
         };
     }
 
-    private outcomeOf(answer: ServiceAnswer | undefined): Pick<ClaimValue, "state" | "answer"> {
+    private outcomeOf(answer: ServiceResponse | undefined): Pick<ClaimValue, "state" | "answer"> {
         if (!answer) {
             return { state: ClaimState.Lost };
         }
--- a/src/core/coldStart.ts
+++ b/src/core/coldStart.ts
@@ -7,7 +7,7 @@
     Milliseconds,
     PeerLostError,
     PeerPort,
-    PermitAnswer,
+    PermitDecision,
     PermitRequest,
     permitSendMilliseconds,
     Profile,
@@ -59,7 +59,7 @@
     /** Takes a permit as this endpoint's home; undefined when it isn't the home or the endpoint has its fill. */
     takeOwn(endpoint: Endpoint, permitId: string, suspect: boolean): Permit | undefined {
         const permit = this.newPermit(endpoint, this.parts.self, permitId, suspect);
-        return this.grant(endpoint, this.requestOf(permit)) === PermitAnswer.Granted ? permit : undefined;
+        return this.grant(endpoint, this.requestOf(permit)) === PermitDecision.Granted ? permit : undefined;
     }
 
     /** Asks the endpoint's home for a permit; undefined when it denies or doesn't answer. */
@@ -72,7 +72,7 @@
         const permit = this.newPermit(endpoint, home, permitId, suspect);
         try {
             const answer = await this.parts.peers.requestPermit(peer.record.address, this.requestOf(permit));
-            return answer === PermitAnswer.Granted ? permit : undefined;
+            return answer === PermitDecision.Granted ? permit : undefined;
         }
         catch (error) {
             if (error instanceof PeerLostError) {
@@ -110,9 +110,9 @@
     }
 
     /** Answers a peer that asks this entry as home. */
-    answer(request: PermitRequest): PermitAnswer {
+    answer(request: PermitRequest): PermitDecision {
         const endpoint = this.parts.endpoint(request.endpoint);
-        return endpoint ? this.grant(endpoint, request) : PermitAnswer.Denied;
+        return endpoint ? this.grant(endpoint, request) : PermitDecision.Denied;
     }
 
     /** Notes a permit that came back. */
@@ -140,27 +140,27 @@
     }
 
     /** A home that has just been paused may hold an old report: it denies, and believes whoever saw the fall. */
-    private grant(endpoint: Endpoint, { permitId, suspect, cold }: PermitRequest): PermitAnswer {
+    private grant(endpoint: Endpoint, { permitId, suspect, cold }: PermitRequest): PermitDecision {
         const now = this.parts.clock.now();
         const trust = endpoint.trust(now).type;
         if (!this.parts.fresh() || !this.parts.homes.mayAct(endpoint.id) || trust === "Closed") {
-            return PermitAnswer.Denied;
+            return PermitDecision.Denied;
         }
         const outstanding = this.outstandingOf(endpoint);
         if (outstanding.has(permitId)) {
-            return PermitAnswer.Granted;
+            return PermitDecision.Granted;
         }
         const slot = this.suspectSlots.get(endpoint.id);
         const taken = suspect && slot !== undefined && slot.expiresAt > now;
         if (taken || ((cold || trust === "Cold") && this.room(endpoint) < 1)) {
-            return PermitAnswer.Denied;
+            return PermitDecision.Denied;
         }
         const expiresAt = now + permitHoldMilliseconds;
         outstanding.set(permitId, expiresAt);
         if (suspect) {
             this.suspectSlots.set(endpoint.id, { permitId, expiresAt });
         }
-        return PermitAnswer.Granted;
+        return PermitDecision.Granted;
     }
 
     /** Permits of an endpoint that still count, with their ends. */
--- a/src/core/configuration/stateFollower.ts
+++ b/src/core/configuration/stateFollower.ts
@@ -7,7 +7,7 @@
  * and one whose connection to the store fell silent. What comes from an entry is what the store said at a revision, so
  * it joins with what the store says: the higher revision holds, whoever brings it.
  */
-import type { ToldChange } from "../../ports/peerNewsPort.js";
+import type { StateDelta } from "../../ports/peerChannelPort.js";
 import {
     HistoryLostError,
     type StateChanges,
@@ -17,14 +17,14 @@
     type StateSink,
     type StateValues,
 } from "../../ports/statePort.js";
-import { sharedAbort } from "../../utils/bounds.js";
+import { sharedAbortController } from "../../utils/bounds.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { describeError } from "../../utils/errors.js";
 import type { PartLog } from "../../utils/log.js";
 import type { Random } from "../../utils/random.js";
-import { cancel, type ChangeSignal } from "../../utils/signal.js";
+import { abortQuietly, type ChangeSignal } from "../../utils/signal.js";
 import { askAfter, retryPause, watchWait } from "./readTurns.js";
-import { StateMirror, type StateNews } from "./stateMirror.js";
+import { StateMirror, type StateUpdate } from "./stateMirror.js";
 
 /**
  * Pause before the next watch after a change, doubled for each further one in a row. Endpoints that start or leave together
@@ -50,7 +50,7 @@
     /** Notified when an entry says that it knows something newer, and on a timer. */
     readonly changed: ChangeSignal;
     /** Lets the other entries know that the store has answered, and what has changed. */
-    tellRead(change: ToldChange | undefined): void;
+    tellRead(change: StateDelta | undefined): void;
     /** Whether this entry is one of those that watch the store for all. */
     readonly watching: boolean;
     /** How many others go before this entry where one is to ask the store for all. */
@@ -65,7 +65,7 @@
     learn<Kind extends StateKind>(
         kind: Kind,
         revision: number | undefined,
-    ): Promise<StateNews<StateValues[Kind]> | undefined>;
+    ): Promise<StateUpdate<StateValues[Kind]> | undefined>;
 }
 
 /** What following needs of the world. */
@@ -79,7 +79,7 @@
     patience: Milliseconds;
 }
 
-type News<Kind extends StateKind> = StateNews<StateValues[Kind]>;
+type News<Kind extends StateKind> = StateUpdate<StateValues[Kind]>;
 
 /** Why a call is left before its answer. */
 enum Left {
@@ -126,7 +126,7 @@
     }
 
     /** Takes changes that another entry tells, if all that came before them is known here. */
-    hear({ after, ...change }: ToldChange): void {
+    applyDelta({ after, ...change }: StateDelta): void {
         const { revision } = this.mirror;
         if (revision !== undefined && after <= revision && revision < change.revision) {
             this.take({ type: "Changes", ...change, wasAway: change.wasAway || this.failures > 0 } as News<Kind>);
@@ -209,8 +209,8 @@
     /** Asks for changes after `revision`, and waits so long for one; leaves the call when others show that it is in vain. */
     private async watch(revision: number, wait: Milliseconds, signal: AbortSignal): Promise<void> {
         const { store, clock } = this.parts;
-        const cut = sharedAbort();
-        const end = () => cancel(cut);
+        const cut = sharedAbortController();
+        const end = () => abortQuietly(cut);
         signal.addEventListener("abort", end, { once: true });
         this.askedAt = clock.now();
         const watching = store.watch(this.kind, revision, wait, cut.signal);
--- a/src/core/configuration/stateMirror.ts
+++ b/src/core/configuration/stateMirror.ts
@@ -5,7 +5,7 @@
 const changesKept = 256;
 
 /** What an entry that knows a kind up to some revision still has to learn. */
-export type StateNews<Value> =
+export type StateUpdate<Value> =
     & {
         /** What is known after it. */
         revision: number;
@@ -65,7 +65,7 @@
     }
 
     /** What is new after `revision`; undefined when that is all that is known. */
-    since(revision: number): StateNews<Value> | undefined {
+    updateSince(revision: number): StateUpdate<Value> | undefined {
         const known = this.revision;
         if (known === undefined || known <= revision) {
             return undefined;
--- a/src/core/deadline.ts
+++ b/src/core/deadline.ts
@@ -14,7 +14,7 @@
         return Math.max(0, this.at - this.clock.now());
     }
 
-    get passed(): boolean {
+    get expired(): boolean {
         return this.clock.now() >= this.at;
     }
 
--- a/src/core/entryCore.ts
+++ b/src/core/entryCore.ts
@@ -1,14 +1,14 @@
 /** The decisions of an entry, wired together; sockets, the store and time come from outside. */
 import type { EndpointPort } from "../ports/forwardingPorts.js";
 import type { MemoryPort } from "../ports/memoryPort.js";
-import type { KnownRevisions, PeerIdentity, PeerNewsPort, ReadAges } from "../ports/peerNewsPort.js";
+import type { KnownRevisions, PeerChannelPort, PeerIdentity, ReadAges } from "../ports/peerChannelPort.js";
 import type { EngineProfile, PlacementPolicy } from "../types/routing.js";
 import type { Clock } from "../utils/clock.js";
 import type { PartLog } from "../utils/log.js";
 import type { Random } from "../utils/random.js";
 import { ColdBudget, type ColdLimits } from "./budgets/coldBudget.js";
 import { EndpointLimits } from "./budgets/endpointLimits.js";
-import { RepeatBudget, type RepeatLimits } from "./budgets/repeatBudget.js";
+import { type RetryLimits, SharedRetryBudget } from "./budgets/sharedRetryBudget.js";
 import { ActiveConfiguration } from "./configuration/activeConfiguration.js";
 import { Forwarder } from "./forwarding/forwarder.js";
 import type { PlannedStop } from "./forwarding/forwardingParts.js";
@@ -16,12 +16,12 @@
 import { Membership } from "./membership/membership.js";
 import { Peers } from "./membership/peers.js";
 import { Metrics } from "./metrics.js";
-import { type EndpointFate, FailureView } from "./placement/failureView.js";
-import { LoadView } from "./placement/loadView.js";
+import { EndpointSelector } from "./placement/endpointSelector.js";
+import { FailureTracker, type SendResult } from "./placement/failureTracker.js";
+import { LoadEstimator } from "./placement/loadEstimator.js";
+import { PlacementClient } from "./placement/placementClient.js";
 import { PlacementServer } from "./placement/placementServer.js";
-import { Placer } from "./placement/placer.js";
-import { Placing } from "./placement/placing.js";
-import { SharedLoads } from "./placement/sharedLoads.js";
+import { SharedLoadEstimator } from "./placement/sharedLoadEstimator.js";
 
 /** What the decisions need. */
 export interface EntryCoreParts {
@@ -30,7 +30,7 @@
     log: (part: string) => PartLog;
     self: PeerIdentity;
     dataCentre: string;
-    channel: PeerNewsPort;
+    channel: PeerChannelPort;
     endpoints: EndpointPort;
     memory: MemoryPort;
     policy: PlacementPolicy;
@@ -38,7 +38,7 @@
     sharesLoads: boolean;
     /** Cores that this entry's instance has. */
     processors?: number;
-    repeatLimits: () => RepeatLimits;
+    repeatLimits: () => RetryLimits;
     coldLimits: () => ColdLimits;
     /** What this entry knows of stored objects. */
     known: () => KnownRevisions;
@@ -55,13 +55,13 @@
     readonly configuration = new ActiveConfiguration();
     readonly metrics = new Metrics();
     readonly directory: EndpointDirectory;
-    readonly loads: SharedLoads;
+    readonly loads: SharedLoadEstimator;
     readonly peers: Peers;
     readonly membership: Membership;
     readonly limits: EndpointLimits;
     readonly forwarder: Forwarder;
-    private readonly failures: FailureView;
-    private readonly placing: Placing;
+    private readonly failures: FailureTracker;
+    private readonly placing: PlacementClient;
     /** Where it takes other entries' datagrams, and where it stands. */
     readonly address: string;
     readonly dataCentre: string;
@@ -71,8 +71,8 @@
         this.address = self.address;
         this.dataCentre = dataCentre;
         this.directory = new EndpointDirectory(clock, log("directory"));
-        this.failures = new FailureView(clock);
-        this.loads = new SharedLoads(new LoadView(clock, endpoint => this.engineOf(endpoint)), clock);
+        this.failures = new FailureTracker(clock);
+        this.loads = new SharedLoadEstimator(new LoadEstimator(clock, endpoint => this.engineOf(endpoint)), clock);
         this.peers = new Peers({
             clock,
             log: log("peers"),
@@ -87,21 +87,21 @@
             inProgress: () => this.forwarder.inProgress,
             processors: parts.processors,
             places: () => parts.sharesLoads && this.forwarder.ready && parts.stop() === undefined,
-            limits: () => this.limits.told(),
-            onLimits: told => this.limits.learn(told),
+            limits: () => this.limits.snapshot(),
+            onLimits: told => this.limits.merge(told),
             onOutcome: (endpoint, fate) => this.noteOutcome(endpoint, fate),
             onPlacementAsked: (from, question) => placements.answer(from, question),
-            onPlacementAnswered: answer => this.placing.hear(answer),
+            onPlacementAnswered: answer => this.placing.receiveAnswer(answer),
         });
-        this.failures.tell = (news, nobodyListens) => this.peers.sayOutcome(news, nobodyListens);
+        this.failures.publish = (news, nobodyListens) => this.peers.publishOutcome(news, nobodyListens);
         this.loads.serviceOf = endpoint => this.directory.find(endpoint)?.record.service;
-        this.loads.newsDelay = () => this.peers.newsDelay;
+        this.loads.propagationDelay = () => this.peers.propagationDelay;
         this.membership = new Membership(this.peers, self.id);
         this.limits = new EndpointLimits(clock, log("directory"), this.membership);
-        const placer = new Placer(this.loads, this.failures, random, parts.policy);
+        const placer = new EndpointSelector(this.loads, this.failures, random, parts.policy);
         const { directory, loads, metrics, peers } = this;
         const cold = new ColdBudget(clock, parts.coldLimits, this.membership);
-        this.placing = new Placing({
+        this.placing = new PlacementClient({
             clock,
             log: log("placing"),
             metrics,
@@ -133,7 +133,7 @@
             placing: this.placing,
             loads: this.loads,
             failures: this.failures,
-            repeats: new RepeatBudget(clock, parts.repeatLimits, () => this.membership.size),
+            repeats: new SharedRetryBudget(clock, parts.repeatLimits, () => this.membership.size),
             cold,
             limits: this.limits,
             metrics: this.metrics,
@@ -149,10 +149,10 @@
         return service === undefined ? undefined : this.configuration.routes?.service(service)?.engine;
     }
 
-    private noteOutcome(id: string, fate: EndpointFate): void {
+    private noteOutcome(id: string, fate: SendResult): void {
         const endpoint = this.directory.get(id);
         if (endpoint) {
-            this.failures.hear(endpoint, fate);
+            this.failures.applyPeerResult(endpoint, fate);
         }
     }
 }
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -39,7 +39,7 @@
     Router,
     ServiceCalls,
     ServicePort,
-    sharedAbort,
+    sharedAbortController,
     Suspects,
     Timeline,
     watchConfiguration,
@@ -96,7 +96,7 @@
     private state = InstanceState.Live;
     private readonly self: { instance: string; incarnation: string; };
     private readonly retries: RetryBudget;
-    private readonly stopping = sharedAbort();
+    private readonly stopping = sharedAbortController();
     private readonly log: PartLog;
 
     constructor(readonly identity: EntryIdentity, readonly ports: EntryPorts) {
--- a/src/core/forwarding/admission.ts
+++ b/src/core/forwarding/admission.ts
@@ -1,5 +1,5 @@
 /** What is settled about a request before its body is read: route, customer, service and time. */
-import type { CallerHead } from "../../ports/forwardingPorts.js";
+import type { RequestHead } from "../../ports/forwardingPorts.js";
 import { type Customer, RequestKind, type Route, type ServiceDefinition } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import type { Random } from "../../utils/random.js";
@@ -23,7 +23,7 @@
 }
 
 /** Settles a request by the configuration in force. Throws {@link RequestFailure}. */
-export const admit = (head: CallerHead, routes: RouteTable | undefined, random: Random): Admission => {
+export const admit = (head: RequestHead, routes: RouteTable | undefined, random: Random): Admission => {
     if (!routes) {
         const detail = "this entry has not learned its configuration yet";
         throw new RequestFailure(FailureKind.NotConfigured, Execution.NotRun, detail, notConfiguredRetrySeconds);
@@ -44,7 +44,7 @@
     };
 };
 
-const identify = (head: CallerHead, route: Route, routes: RouteTable): Customer | undefined => {
+const identify = (head: RequestHead, route: Route, routes: RouteTable): Customer | undefined => {
     const customer = head.key === undefined ? undefined : routes.customer(head.key);
     if (!customer && routes.needsKeys && !route.open) {
         throw new RequestFailure(FailureKind.UnknownCustomer, Execution.NotRun, "the key belongs to no customer");
--- a/src/core/forwarding/endpointSearch.ts
+++ b/src/core/forwarding/endpointSearch.ts
@@ -1,8 +1,8 @@
 /** Finds an endpoint for one request, puts it off while that is better, and turns it away when none can serve it. */
 import type { Milliseconds } from "../../utils/clock.js";
 import { FailureKind } from "../failures.js";
-import { needsSeveral, type Placement } from "../placement/placer.js";
-import type { PlacementRequest } from "../placement/placing.js";
+import { exceedsOneEngine, type Placement } from "../placement/endpointSelector.js";
+import type { PlacementRequest } from "../placement/placementClient.js";
 import { rejectBeforeStop, rejectHopeless, type Rejection, rejectWithoutEndpoint } from "./overload.js";
 import { memoryPauseAtMost, type RequestProgress } from "./requestProgress.js";
 
@@ -45,7 +45,7 @@
             refused: this.progress.attempts.refused,
             lacking: this.progress.attempts.lacking,
         };
-        return { id: this.progress.request.id, need, endsBy: deadline };
+        return { id: this.progress.request.id, requirements: need, endsBy: deadline };
     }
 
     /** Undefined where all endpoints together lack the memory now, and some of it may be free soon. */
@@ -62,7 +62,7 @@
         if (!placement) {
             const { detail, retryAfterSeconds } = rejectWithoutEndpoint(
                 service.name,
-                this.progress.parts.placing.roomIn(this.placementRequest),
+                this.progress.parts.placing.timeUntilCapacity(this.placementRequest),
             );
             throw this.progress.failure(FailureKind.NoEndpoint, detail, retryAfterSeconds);
         }
@@ -71,10 +71,10 @@
 
     private mayFindMemory(): boolean {
         const request = this.placementRequest;
-        const { service: { engine }, promptTokens, answerTokens } = request.need;
+        const { service: { engine }, promptTokens, answerTokens } = request.requirements;
         const candidates = this.progress.parts.placing.candidates(request)
             .filter(({ record }) => !this.progress.attempts.refused.has(record.id));
-        return engine !== undefined && needsSeveral(request.need)
+        return engine !== undefined && exceedsOneEngine(request.requirements)
             && promptTokens + answerTokens <= engine.memoryTokens * candidates.length
             && this.progress.patienceLeft > memoryPatience;
     }
@@ -85,7 +85,7 @@
         if (!rejection && !this.progress.ended.aborted) {
             return placement;
         }
-        this.progress.parts.placing.giveBack(placement, this.progress.request.id);
+        this.progress.parts.placing.release(placement, this.progress.request.id);
         this.progress.checkTime();
         throw this.progress.failure(rejection!.kind, rejection!.detail, rejection!.retryAfterSeconds);
     }
--- a/src/core/forwarding/forwarder.ts
+++ b/src/core/forwarding/forwarder.ts
@@ -55,7 +55,7 @@
             const detail = "this entry has not learned its endpoints yet";
             throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, notListedRetrySeconds);
         }
-        repeats.request(admission.service.name);
+        repeats.recordRequest(admission.service.name);
         metrics.count("requests_total", `kind="${admission.route.kind}"`);
         const limits = configuration.routes!.configuration.limits;
         const body = await exchange.readBody(limits.bodyBytes);
@@ -69,13 +69,13 @@
     private async untilReady(exchange: CallerExchange): Promise<void> {
         const { clock, reads } = this.parts;
         const until = clock.now() + readyWithin;
-        while (!this.ready && reads() && clock.now() < until && !exchange.left.aborted) {
+        while (!this.ready && reads() && clock.now() < until && !exchange.disconnected.aborted) {
             await clock.sleep(readyLook);
         }
     }
 
     private fail(exchange: CallerExchange, error: unknown): void {
-        if (exchange.left.aborted) {
+        if (exchange.disconnected.aborted) {
             this.parts.metrics.count("callers_left_total");
             const elapsed = Math.round(this.parts.clock.now() - exchange.head.arrivedAt);
             this.parts.log.info("The caller has left.", { requestId: exchange.head.id, elapsed });
--- a/src/core/forwarding/forwardingParts.ts
+++ b/src/core/forwarding/forwardingParts.ts
@@ -6,13 +6,13 @@
 import type { Random } from "../../utils/random.js";
 import type { ColdBudget } from "../budgets/coldBudget.js";
 import type { EndpointLimits } from "../budgets/endpointLimits.js";
-import type { RepeatBudget } from "../budgets/repeatBudget.js";
+import type { SharedRetryBudget } from "../budgets/sharedRetryBudget.js";
 import type { ActiveConfiguration } from "../configuration/activeConfiguration.js";
 import type { EndpointDirectory } from "../membership/endpointDirectory.js";
 import type { Metrics } from "../metrics.js";
-import type { FailureView } from "../placement/failureView.js";
-import type { Placing } from "../placement/placing.js";
-import type { SharedLoads } from "../placement/sharedLoads.js";
+import type { FailureTracker } from "../placement/failureTracker.js";
+import type { PlacementClient } from "../placement/placementClient.js";
+import type { SharedLoadEstimator } from "../placement/sharedLoadEstimator.js";
 
 /** A planned stop of this entry, on the local clock. */
 export interface PlannedStop {
@@ -30,10 +30,10 @@
     directory: EndpointDirectory;
     endpoints: EndpointPort;
     memory: MemoryPort;
-    placing: Placing;
-    loads: SharedLoads;
-    failures: FailureView;
-    repeats: RepeatBudget;
+    placing: PlacementClient;
+    loads: SharedLoadEstimator;
+    failures: FailureTracker;
+    repeats: SharedRetryBudget;
     cold: ColdBudget;
     limits: EndpointLimits;
     metrics: Metrics;
--- a/src/core/forwarding/memoryHold.ts
+++ b/src/core/forwarding/memoryHold.ts
@@ -5,11 +5,11 @@
  * waiting, and given back when any part is missing; whoever failed tries again after a random pause. An entry that dies
  * leaves nothing behind: each hold is short and renewed only while its request runs, so the endpoint frees it by itself.
  */
-import type { MemoryPort, MemoryShare } from "../../ports/memoryPort.js";
-import { ReservationAnswer } from "../../ports/memoryPort.js";
+import type { MemoryPort, MemoryReservation } from "../../ports/memoryPort.js";
+import { ReservationResult } from "../../ports/memoryPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { PartLog } from "../../utils/log.js";
-import { cancel } from "../../utils/signal.js";
+import { abortQuietly } from "../../utils/signal.js";
 
 /**
  * How long an endpoint keeps memory that isn't renewed. Endpoints may carry out an unanswered order seconds later, after
@@ -36,19 +36,19 @@
 
     private constructor(
         private readonly parts: MemoryHoldParts,
-        private readonly shares: readonly MemoryShare[],
+        private readonly shares: readonly MemoryReservation[],
         private readonly requestId: string,
     ) {}
 
     /** Sets all of `shares` aside. When any of them can't be had, nothing is held, and the endpoints at fault are told. */
     static async gather(
         parts: MemoryHoldParts,
-        shares: readonly MemoryShare[],
+        shares: readonly MemoryReservation[],
         requestId: string,
     ): Promise<{ hold: MemoryHold; } | { lacking: string[]; }> {
         const hold = new MemoryHold(parts, shares, requestId);
         const answers = await Promise.all(shares.map(share => hold.reserve(share)));
-        if (answers.every(answer => answer === ReservationAnswer.Held)) {
+        if (answers.every(answer => answer === ReservationResult.Held)) {
             void hold.renew();
             return { hold };
         }
@@ -61,20 +61,20 @@
             })),
         });
         // An order without an answer may have been carried out.
-        hold.release(share => answers[shares.indexOf(share)] !== ReservationAnswer.Refused);
-        const held = (index: number) => answers[index] === ReservationAnswer.Held;
+        hold.release(share => answers[shares.indexOf(share)] !== ReservationResult.Refused);
+        const held = (index: number) => answers[index] === ReservationResult.Held;
         return { lacking: shares.flatMap(({ endpoint }, index) => held(index) ? [] : [endpoint.id]) };
     }
 
     /** Gives the memory back. */
-    release(held: (share: MemoryShare) => boolean = () => true): void {
-        cancel(this.ending);
+    release(held: (share: MemoryReservation) => boolean = () => true): void {
+        abortQuietly(this.ending);
         for (const share of this.shares.filter(held)) {
             void this.giveBack(share);
         }
     }
 
-    private reserve(share: MemoryShare): Promise<ReservationAnswer> {
+    private reserve(share: MemoryReservation): Promise<ReservationResult> {
         return this.parts.memory.reserve(share, holdTime, answerAtMost);
     }
 
@@ -91,20 +91,20 @@
         }
     }
 
-    private async renewOne(share: MemoryShare): Promise<void> {
+    private async renewOne(share: MemoryReservation): Promise<void> {
         const answer = await this.reserve(share);
         if (this.ending.signal.aborted) {
             // The renewal may have arrived behind the release.
             await this.giveBack(share);
             return;
         }
-        if (answer !== ReservationAnswer.Held) {
+        if (answer !== ReservationResult.Held) {
             const { requestId } = this;
             this.parts.log.info("Memory can't be renewed.", { requestId, endpoint: share.endpoint.id, answer });
         }
     }
 
-    private async giveBack(share: MemoryShare): Promise<void> {
+    private async giveBack(share: MemoryReservation): Promise<void> {
         for (let tries = 0; tries < releaseTries; tries++) {
             if (await this.parts.memory.release(share, answerAtMost)) {
                 return;
--- a/src/core/forwarding/requestProgress.ts
+++ b/src/core/forwarding/requestProgress.ts
@@ -1,7 +1,7 @@
 /** How far one request has come: its sends, its stream, the time that is left, and how it fails. */
 import type { CallerExchange, ForwardedRequest } from "../../ports/forwardingPorts.js";
 import type { Milliseconds } from "../../utils/clock.js";
-import { cancel } from "../../utils/signal.js";
+import { abortQuietly } from "../../utils/signal.js";
 import { Execution, FailureKind, RequestFailure } from "../failures.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { Admission } from "./admission.js";
@@ -42,7 +42,7 @@
     }
 
     end(): void {
-        cancel(this.ending);
+        abortQuietly(this.ending);
     }
 
     get timeLeft(): Milliseconds {
@@ -82,7 +82,9 @@
     checkTime(): void {
         if (this.ended.aborted || this.timeLeft <= 0) {
             const execution = this.attempts.taken === 0 ? Execution.NotRun : Execution.Unknown;
-            const detail = this.exchange.left.aborted ? "the caller has left" : "the time for this request is over";
+            const detail = this.exchange.disconnected.aborted
+                ? "the caller has left"
+                : "the time for this request is over";
             throw new RequestFailure(FailureKind.DeadlineExceeded, execution, detail);
         }
     }
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -1,9 +1,9 @@
 /** One request: chosen endpoints one after the other, until one answers or the request can't be sent again. */
 import type {
-    AnswerHead,
     CallerExchange,
     ForwardedRequest,
     Refusal,
+    ResponseHead,
     StreamEvent,
 } from "../../ports/forwardingPorts.js";
 import { RefusalReason, StreamBrokenError, StreamSilentError } from "../../ports/forwardingPorts.js";
@@ -11,7 +11,7 @@
 import { describeError } from "../../utils/errors.js";
 import { FailureKind } from "../failures.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
-import type { Placement } from "../placement/placer.js";
+import type { Placement } from "../placement/endpointSelector.js";
 import type { Admission } from "./admission.js";
 import { EndpointSearch } from "./endpointSearch.js";
 import type { ForwardingParts } from "./forwardingParts.js";
@@ -31,7 +31,7 @@
 const quietAtMost: Milliseconds = 200;
 
 interface KeptAnswer {
-    head: AnswerHead;
+    head: ResponseHead;
     body: Buffer;
 }
 
@@ -57,7 +57,7 @@
     /** Runs the request to its end. Throws {@link RequestFailure} when there is no answer to pass on. */
     async run(): Promise<void> {
         const leave = () => this.progress.end();
-        this.progress.exchange.left.addEventListener("abort", leave, { once: true });
+        this.progress.exchange.disconnected.addEventListener("abort", leave, { once: true });
         const stopTimer = this.parts.clock.after(Math.max(0, this.progress.timeLeft), leave);
         try {
             await this.sendUntilAnswered();
@@ -93,7 +93,7 @@
                 await this.progress.pauseForMemory();
                 return false;
             case "Unreached":
-                this.noteUnreached(endpoint, outcome.nobodyListens);
+                this.noteUnreached(endpoint, outcome.connectionRefused);
                 attempts.withdraw();
                 attempts.noteRefused(id);
                 this.progress.note("An endpoint can't be reached.", endpoint, { reason: outcome.reason });
@@ -118,10 +118,10 @@
     private noteLost(endpoint: KnownEndpoint, silent: boolean): void {
         const { failures, metrics } = this.parts;
         if (silent) {
-            failures.silent(endpoint);
+            failures.recordSilent(endpoint);
         }
         else {
-            failures.lost(endpoint);
+            failures.recordLost(endpoint);
         }
         this.progress.attempts.noteBroken(endpoint.record.id);
         metrics.count("endpoint_breaks_total");
@@ -130,10 +130,10 @@
     private noteUnreached(endpoint: KnownEndpoint, nobodyListens: boolean): void {
         const { failures } = this.parts;
         if (nobodyListens) {
-            failures.unreachable(endpoint);
+            failures.recordUnreachable(endpoint);
         }
         else {
-            failures.lost(endpoint);
+            failures.recordLost(endpoint);
         }
     }
 
@@ -152,7 +152,7 @@
             directory.noteCold(id, outcome.coldFor);
         }
         if (atFault && atFault.record.id !== id) {
-            failures.lost(atFault);
+            failures.recordLost(atFault);
             attempts.withdraw();
             attempts.noteRefused(atFault.record.id);
             this.sendAgainOrFail(FailureKind.Overloaded, "an endpoint that was to help has gone");
@@ -161,35 +161,35 @@
         attempts.noteRefused(id);
         if (outcome.reason === RefusalReason.WrongEndpoint) {
             // The address belongs to another endpoint now, so the chosen one was never reached.
-            failures.lost(endpoint);
+            failures.recordLost(endpoint);
             attempts.withdraw();
             this.passOver("no listed endpoint was at its address");
             return;
         }
-        failures.failed(id);
+        failures.recordFailed(id);
         this.sendAgainOrFail(FailureKind.Overloaded, `the endpoint refused: ${outcome.reason}`);
     }
 
     private passAnswer(endpoint: KnownEndpoint, { head, body }: KeptAnswer): boolean {
         const failed = head.status >= firstFailureStatus;
         if (failed) {
-            this.parts.failures.failed(endpoint.record.id);
+            this.parts.failures.recordFailed(endpoint.record.id);
             this.progress.attempts.noteBroken(endpoint.record.id);
             this.progress.note("An endpoint failed.", endpoint, { status: head.status });
             this.kept = { head, body };
             if (
-                this.progress.maySendAgain() && this.parts.repeats.take(this.progress.admission.service.name)
+                this.progress.maySendAgain() && this.parts.repeats.tryTake(this.progress.admission.service.name)
             ) {
                 return false;
             }
         }
         else {
-            this.parts.failures.succeeded(endpoint);
+            this.parts.failures.recordSucceeded(endpoint);
         }
         if (this.progress.relay.begun) {
             throw new StreamBrokenError(`the endpoint answered ${head.status} where the stream goes on`);
         }
-        this.progress.exchange.answer(head, body);
+        this.progress.exchange.respond(head, body);
         this.parts.metrics.observe(
             "answer_milliseconds",
             this.parts.clock.now() - this.progress.request.arrivedAt,
@@ -200,7 +200,7 @@
 
     private async passStream(
         endpoint: KnownEndpoint,
-        head: AnswerHead,
+        head: ResponseHead,
         events: AsyncIterable<StreamEvent>,
     ): Promise<boolean> {
         this.progress.attempts.mayHaveRun = true;
@@ -208,7 +208,7 @@
             await this.progress.relay.pass(
                 head,
                 events,
-                () => this.parts.loads.writes(endpoint.record.id, this.progress.request.id),
+                () => this.parts.loads.recordWriting(endpoint.record.id, this.progress.request.id),
             );
         }
         catch (error) {
@@ -224,8 +224,8 @@
             this.sendAgainOrFail(FailureKind.OutcomeUnknown, `the stream broke off: ${describeError(error)}`);
             return false;
         }
-        this.parts.failures.succeeded(endpoint);
-        this.progress.exchange.end();
+        this.parts.failures.recordSucceeded(endpoint);
+        this.progress.exchange.endStream();
         const { lastEvent, firstEventAfter, longestPause } = this.progress.relay;
         this.parts.metrics.observe("longest_pause_milliseconds", longestPause);
         this.progress.note("Streamed.", endpoint, { status: head.status, lastEvent, firstEventAfter, longestPause });
@@ -277,13 +277,13 @@
         if (!this.progress.relay.canContinue || !this.progress.maySendAgain(this.progress.admission.repeatable)) {
             return false;
         }
-        const { placement, busyFor } = await this.parts.placing.alternative(
+        const { placement, busyFor } = await this.parts.placing.findAlternative(
             this.search.placementRequest,
             record.id,
         );
         // An endpoint that reads a long prompt is silent for a while, and no other would be quicker.
         const worthLeaving = busyFor < quietAtMost && this.answersInTime(placement);
-        this.repeatTaken = worthLeaving && this.parts.repeats.take(this.progress.admission.service.name);
+        this.repeatTaken = worthLeaving && this.parts.repeats.tryTake(this.progress.admission.service.name);
         return this.repeatTaken;
     }
 
@@ -304,7 +304,7 @@
         this.repeatTaken = false;
         if (
             this.progress.maySendAgain()
-            && (taken || this.parts.repeats.take(this.progress.admission.service.name))
+            && (taken || this.parts.repeats.tryTake(this.progress.admission.service.name))
         ) {
             return;
         }
@@ -319,11 +319,11 @@
                 lastEvent: this.progress.relay.lastEvent,
                 reason: describeError(error),
             });
-            this.progress.exchange.cut();
+            this.progress.exchange.abortStream();
             return;
         }
-        if (this.kept && !this.progress.exchange.left.aborted) {
-            this.progress.exchange.answer(this.kept.head, this.kept.body);
+        if (this.kept && !this.progress.exchange.disconnected.aborted) {
+            this.progress.exchange.respond(this.kept.head, this.kept.body);
             this.progress.note("Answered with an endpoint's failure.", undefined, { status: this.kept.head.status });
             return;
         }
--- a/src/core/forwarding/sender.ts
+++ b/src/core/forwarding/sender.ts
@@ -1,12 +1,12 @@
 /** Sends one request to one placement: notes the work, sets memory aside where needed, and watches for silence. */
-import type { EndpointOutcome, ForwardedRequest, StreamEvent } from "../../ports/forwardingPorts.js";
+import type { AttemptOutcome, ForwardedRequest, StreamEvent } from "../../ports/forwardingPorts.js";
 import { RefusalReason, StreamSilentError } from "../../ports/forwardingPorts.js";
 import { RequestKind } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
-import { cancel } from "../../utils/signal.js";
-import type { PlacedWork } from "../placement/engineBelief.js";
-import { endpointsOf, worksOf } from "../placement/placedWorks.js";
-import type { Placement } from "../placement/placer.js";
+import { abortQuietly } from "../../utils/signal.js";
+import type { Placement } from "../placement/endpointSelector.js";
+import type { PlacedWork } from "../placement/engineEstimate.js";
+import { endpointsOfPlacement, workOfPlacement } from "../placement/placementWork.js";
 import type { Admission } from "./admission.js";
 import type { ForwardingParts } from "./forwardingParts.js";
 import { MemoryHold } from "./memoryHold.js";
@@ -51,14 +51,14 @@
 
 /** What became of a try to send. */
 export type DispatchOutcome =
-    | EndpointOutcome
+    | AttemptOutcome
     /** It said nothing for so long that the request is sent elsewhere. */
     | { type: "Silent"; reason: string; }
     /** These endpoints hadn't the memory that was to be set aside; nothing was sent. */
     | { type: "NoMemory"; lacking: string[]; };
 
 /** Whether another endpoint answered in the place of the one that was meant. */
-const isOther = (outcome: EndpointOutcome): boolean =>
+const isOther = (outcome: AttemptOutcome): boolean =>
     outcome.type === "Refused" && outcome.reason === RefusalReason.WrongEndpoint;
 
 const silentFor = (limit: Milliseconds): string => `silent for ${Math.round(limit)} ms`;
@@ -78,17 +78,17 @@
     private async run(): Promise<DispatchOutcome> {
         const { loads, cold, limits } = this.parts;
         const { placement, signal } = this.dispatch;
-        if (!placement.noted) {
-            loads.place(this.works());
+        if (!placement.recorded) {
+            loads.recordPlaced(this.works());
         }
-        cold.note(placement.endpoint.record.id);
-        limits.noteSent(placement.endpoint.record.id);
+        cold.recordSent(placement.endpoint.record.id);
+        limits.recordSent(placement.endpoint.record.id);
         const lacking = await this.setMemoryAside();
         if (lacking.length > 0) {
             this.end();
             return { type: "NoMemory", lacking };
         }
-        const end = () => cancel(this.ending);
+        const end = () => abortQuietly(this.ending);
         signal.addEventListener("abort", end, { once: true });
         if (signal.aborted) {
             end();
@@ -108,17 +108,17 @@
     }
 
     /** Takes what the answer says of the endpoint's limit. A refusal without one says nothing of it. */
-    private noteLimit(outcome: EndpointOutcome, sentAt: Milliseconds): void {
+    private noteLimit(outcome: AttemptOutcome, sentAt: Milliseconds): void {
         const { limits } = this.parts;
         const { id } = this.dispatch.placement.endpoint.record;
         if (!("limitPerSecond" in outcome) || isOther(outcome)) {
             return;
         }
         if (outcome.limitPerSecond !== undefined) {
-            limits.named(id, outcome.limitPerSecond);
+            limits.recordLimit(id, outcome.limitPerSecond);
         }
         else if (outcome.type !== "Refused") {
-            limits.unnamed(id, sentAt);
+            limits.recordNoLimit(id, sentAt);
         }
     }
 
@@ -141,7 +141,7 @@
         return [];
     }
 
-    private order(): Promise<EndpointOutcome> {
+    private order(): Promise<AttemptOutcome> {
         const { placement, request, admission, resumeAfter, number } = this.dispatch;
         const { route, customer } = admission;
         const { clock, endpoints } = this.parts;
@@ -191,7 +191,7 @@
                     return;
                 }
                 if (leaves) {
-                    cancel(this.ending);
+                    abortQuietly(this.ending);
                     resolve(undefined);
                     return;
                 }
@@ -224,7 +224,7 @@
         }
         finally {
             // A caller who leaves stops reading here; the endpoint's side ends with the signal.
-            cancel(this.ending);
+            abortQuietly(this.ending);
             void iterator.return?.();
             this.end();
         }
@@ -234,12 +234,12 @@
         const { placement, request } = this.dispatch;
         this.hold?.release();
         this.hold = undefined;
-        this.parts.loads.end(endpointsOf(placement), request.id);
+        this.parts.loads.recordEnded(endpointsOfPlacement(placement), request.id);
     }
 
     private works(): PlacedWork[] {
         const { placement, request, admission } = this.dispatch;
-        return worksOf(placement, {
+        return workOfPlacement(placement, {
             id: request.id,
             owner: this.parts.entry,
             promptTokens: request.size?.promptTokens ?? 0,
--- a/src/core/forwarding/streamRelay.ts
+++ b/src/core/forwarding/streamRelay.ts
@@ -1,5 +1,5 @@
 /** Passes the events of a stream on to its caller, over all endpoints that continue it. */
-import type { AnswerHead, CallerExchange, StreamEvent } from "../../ports/forwardingPorts.js";
+import type { CallerExchange, ResponseHead, StreamEvent } from "../../ports/forwardingPorts.js";
 import { StreamBrokenError } from "../../ports/forwardingPorts.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { Metrics } from "../metrics.js";
@@ -36,7 +36,7 @@
     }
 
     /** Passes all events of one endpoint; calls `onFirst` with the first. Throws when the stream breaks off. */
-    async pass(head: AnswerHead, events: AsyncIterable<StreamEvent>, onFirst: () => void): Promise<void> {
+    async pass(head: ResponseHead, events: AsyncIterable<StreamEvent>, onFirst: () => void): Promise<void> {
         let writing = false;
         for await (const event of events) {
             if (!writing) {
@@ -52,10 +52,10 @@
         this.begin(head);
     }
 
-    private begin(head: AnswerHead): void {
+    private begin(head: ResponseHead): void {
         if (!this.begun) {
             this.begun = true;
-            this.exchange.begin(head);
+            this.exchange.beginStream(head);
         }
     }
 
--- a/src/core/gangs.ts
+++ b/src/core/gangs.ts
@@ -89,7 +89,7 @@
         this.checkSize(work, service);
         let round = 0;
         while (true) {
-            if (work.deadline.passed || work.signal.aborted) {
+            if (work.deadline.expired || work.signal.aborted) {
                 const detail = "no gang of engines had its memory free before the deadline";
                 throw new RequestFailure(FailureKind.Overloaded, Execution.NotRun, detail, 10);
             }
--- a/src/core/generation.ts
+++ b/src/core/generation.ts
@@ -27,8 +27,8 @@
     Suspects,
     TimeLimitError,
     Timeline,
-    within,
-    withinOrUndefined,
+    withTimeout,
+    withTimeoutOrUndefined,
     Work,
 } from "../internal.js";
 
@@ -48,7 +48,7 @@
 }
 
 /** A piece of the answer, in order and without gaps. */
-export type AnswerPiece =
+export type ResponseChunk =
     | { type: "Text"; text: string; tokens: number; }
     | { type: "End"; finishReason: FinishReason; tokens: number; };
 
@@ -123,7 +123,7 @@
      * Throws {@link RequestFailure}. Whoever stops reading early must call `return` on the iterator: that ends the
      * stream on the engine.
      */
-    async *run(request: GenerationRequest): AsyncGenerator<AnswerPiece, void> {
+    async *run(request: GenerationRequest): AsyncGenerator<ResponseChunk, void> {
         const progress: Progress = { attempt: 0, losses: 0, tokensSent: 0, avoid: new Set(), ran: false };
         this.parts.retries.firstAttempt(request.work.profile.retryShare);
         while (true) {
@@ -175,7 +175,7 @@
         request: GenerationRequest,
         place: AttemptPlace,
         progress: Progress,
-    ): AsyncGenerator<AnswerPiece, AttemptOutcome> {
+    ): AsyncGenerator<ResponseChunk, AttemptOutcome> {
         const { work } = request;
         const streamId = `${work.requestId}.${progress.attempt}`;
         const stop = new AbortController();
@@ -207,7 +207,7 @@
         progress: Progress,
         streamId: string,
         signal: AbortSignal,
-    ): AsyncGenerator<AnswerPiece, AttemptOutcome> {
+    ): AsyncGenerator<ResponseChunk, AttemptOutcome> {
         const { work } = request;
         let connection = await this.open(request, place, progress, streamId, signal);
         let idle = 0;
@@ -244,7 +244,7 @@
         const address = place.endpoint.record.address;
         const limit = request.work.deadline.bounded(acceptMilliseconds + request.prompt.length / 1_000);
         try {
-            const frames = await within(
+            const frames = await withTimeout(
                 this.parts.clock,
                 limit,
                 "an engine's acceptance",
@@ -294,7 +294,7 @@
         const address = place.endpoint.record.address;
         try {
             const limit = deadline.bounded(acceptMilliseconds);
-            const frames = await within(
+            const frames = await withTimeout(
                 this.parts.clock,
                 limit,
                 "an engine's acceptance",
@@ -317,12 +317,12 @@
         work: Work,
         progress: Progress,
         streamId: string,
-    ): AsyncGenerator<AnswerPiece, Reading> {
+    ): AsyncGenerator<ResponseChunk, Reading> {
         const iterator = frames[Symbol.asyncIterator]();
         try {
             while (true) {
                 const limit = work.deadline.bounded(work.profile.silenceMilliseconds);
-                const next = await within(this.parts.clock, limit, "the next frame", () => iterator.next());
+                const next = await withTimeout(this.parts.clock, limit, "the next frame", () => iterator.next());
                 if (next.done) {
                     return { type: "Cut", reason: "the stream ended without its end marker" };
                 }
@@ -354,7 +354,7 @@
     }
 
     /** Takes a frame only where it belongs: same stream, same attempt, next offset. */
-    private accept(frame: EngineFrame, progress: Progress, streamId: string): AnswerPiece | "Drop" | "Gap" {
+    private accept(frame: EngineFrame, progress: Progress, streamId: string): ResponseChunk | "Drop" | "Gap" {
         if (frame.streamId !== streamId || frame.attempt !== progress.attempt) {
             return "Drop";
         }
@@ -413,7 +413,12 @@
         const { work } = request;
         if (outcome.type === "Lost") {
             const limit = work.deadline.remaining();
-            await withinOrUndefined(this.parts.clock, limit, "an endpoint's report", () => this.judgeLoss(work, place));
+            await withTimeoutOrUndefined(
+                this.parts.clock,
+                limit,
+                "an endpoint's report",
+                () => this.judgeLoss(work, place),
+            );
         }
         this.checkDeadline(work, progress);
         progress.attempt++;
@@ -460,7 +465,7 @@
         if (work.signal.aborted) {
             throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the caller went away");
         }
-        if (work.deadline.passed) {
+        if (work.deadline.expired) {
             throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the deadline passed", 1);
         }
     }
--- a/src/core/membership/endpointDirectory.ts
+++ b/src/core/membership/endpointDirectory.ts
@@ -32,7 +32,7 @@
     private loaded = false;
 
     /** Data centres that must get nothing, as a sink of its own. */
-    readonly out: StateSink<true> = {
+    readonly excludedDataCentres: StateSink<true> = {
         replace: snapshot => {
             const names = new Set(snapshot.items.map(item => item.name));
             for (const name of [...this.dataCentresOut]) {
--- a/src/core/membership/entryList.ts
+++ b/src/core/membership/entryDiscovery.ts
@@ -38,7 +38,7 @@
 }
 
 /** Finds the other entries, and lets them find this one. */
-export class EntryList {
+export class EntryDiscovery {
     private announced = false;
 
     constructor(private readonly parts: EntryListParts) {}
@@ -95,7 +95,7 @@
         }
         const { items } = await store.list(StateKind.Entries, signal);
         this.announced &&= items.some(({ name }) => name === self.id);
-        peers.listed(items.flatMap(({ name, value }) => value ? [{ id: name, ...value }] : []));
+        peers.applyListing(items.flatMap(({ name, value }) => value ? [{ id: name, ...value }] : []));
         await this.removeLost(signal);
     }
 
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -22,7 +22,7 @@
 
     /** Entries to divide budgets by. Entries that fell silent are counted too: they may go on sending unheard. */
     get size(): number {
-        const known = Math.max(entriesAtLeast, this.peers.living + entriesUnheard, this.peers.ids().length + 1);
+        const known = Math.max(entriesAtLeast, this.peers.livingCount + entriesUnheard, this.peers.ids().length + 1);
         return this.peers.met ? known : Math.max(known, entriesUnknown);
     }
 
@@ -54,7 +54,7 @@
     /** Whether this entry is the one to remove `id` from the list: the first of those that live. */
     removes(id: string): boolean {
         const own = hash32(`${id}/${this.self}`);
-        return this.peers.others().every(({ identity }) => hash32(`${id}/${identity.id}`) > own);
+        return this.peers.livingPeers().every(({ identity }) => hash32(`${id}/${identity.id}`) > own);
     }
 
     /** Whether this entry is one of `count` that do something for all; all who hear the same entries agree. */
@@ -66,7 +66,7 @@
     turn(task: string): number {
         const own = hash32(`${task}/${this.self}`);
         let before = 0;
-        for (const { identity, reads } of this.peers.others()) {
+        for (const { identity, reads } of this.peers.livingPeers()) {
             before += reads && hash32(`${task}/${identity.id}`) < own ? 1 : 0;
         }
         return before;
--- a/src/core/membership/newsSender.ts
+++ b/src/core/membership/newsSender.ts
@@ -5,16 +5,16 @@
  * says, so news is gathered for as long as those who hear it can do without it.
  */
 import {
-    PassOn,
+    type PeerChannelPort,
     type PeerIdentity,
     type PeerMessage,
-    type PeerNews,
-    type PeerNewsPort,
-} from "../../ports/peerNewsPort.js";
+    type PeerUpdate,
+    RelayScope,
+} from "../../ports/peerChannelPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { formGroups, type Groups, relaysOf } from "./fanOut.js";
 import type { PeerRegistry } from "./peerRegistry.js";
-import { fewEntries, type Placers } from "./placers.js";
+import { fewEntries, type PlacerSet } from "./placers.js";
 
 /** How long a piece of news may be gathered: for those who hear directly, and for the other groups. */
 export interface Urgency {
@@ -43,12 +43,12 @@
 /** What sending news needs. */
 export interface NewsSenderParts {
     clock: Clock;
-    channel: PeerNewsPort;
+    channel: PeerChannelPort;
     registry: PeerRegistry;
     self: PeerIdentity;
     dataCentre: string;
     /** Who chooses endpoints for all; of `asked`, those who answer. */
-    placers: () => Placers;
+    placers: () => PlacerSet;
 }
 
 interface Audience {
@@ -60,8 +60,8 @@
 /** Sends news. */
 export class NewsSender {
     private audience: Audience | undefined;
-    private readonly near: Outbox<PeerNews>;
-    private readonly far: Outbox<PeerNews>;
+    private readonly near: Outbox<PeerUpdate>;
+    private readonly far: Outbox<PeerUpdate>;
     private readonly relayed: Outbox<PeerMessage>;
     private readonly toPlacers: Outbox<PeerMessage>;
 
@@ -74,44 +74,44 @@
     }
 
     /** Tells all other entries. */
-    tell(news: PeerNews, urgency: Urgency): void {
+    tell(news: PeerUpdate, urgency: Urgency): void {
         this.tellNear(news, urgency.near);
         this.tellFar(news, urgency.far);
     }
 
     /** Tells those who hear this entry directly: its group, or all where they are few. */
-    tellNear(news: PeerNews, within: Milliseconds): void {
+    tellNear(news: PeerUpdate, within: Milliseconds): void {
         this.near.add(news, within);
     }
 
     /** Tells the other groups. */
-    tellFar(news: PeerNews, within: Milliseconds): void {
+    tellFar(news: PeerUpdate, within: Milliseconds): void {
         if (this.currentAudience().groups.others.length > 0) {
             this.far.add(news, within);
         }
     }
 
     /** Tells all entries that may be there, without relying on any to pass it on. */
-    tellEach(news: PeerNews): void {
+    tellEach(news: PeerUpdate): void {
         this.send(this.parts.registry.allAddresses(), [{ from: this.parts.self, news: [news] }]);
     }
 
     /** Tells some entries. */
-    tellSome(addresses: readonly string[], news: PeerNews[]): void {
+    tellSome(addresses: readonly string[], news: PeerUpdate[]): void {
         this.send(addresses, [{ from: this.parts.self, news }]);
     }
 
     /** Tells those who choose endpoints for all. */
-    tellPlacers(news: PeerNews, within: Milliseconds): void {
+    tellPlacers(news: PeerUpdate, within: Milliseconds): void {
         this.toPlacers.add({ from: this.parts.self, news: [news] }, within);
     }
 
     /** Passes on what another entry told. */
-    passOn(messages: readonly PeerMessage[], to: PassOn): void {
+    passOn(messages: readonly PeerMessage[], to: RelayScope): void {
         switch (to) {
-            case PassOn.Nobody:
+            case RelayScope.Nobody:
                 return;
-            case PassOn.Group:
+            case RelayScope.Group:
                 for (const message of messages) {
                     this.relayed.add(message, isSign(message) ? signGatherTime : relayGatherTime);
                 }
@@ -119,7 +119,7 @@
                     this.relayed.flush();
                 }
                 return;
-            case PassOn.Placers:
+            case RelayScope.Placers:
                 if (this.parts.placers().self) {
                     for (const message of messages) {
                         this.toPlacers.add(message, isPlaced(message) ? placing.near : settling.near);
@@ -140,14 +140,14 @@
         this.audience = undefined;
     }
 
-    private sendNear(news: PeerNews[]): void {
+    private sendNear(news: PeerUpdate[]): void {
         const { groups, silent } = this.currentAudience();
         this.send([...groups.own, ...silent], [{ from: this.parts.self, news }]);
     }
 
-    private sendFar(news: PeerNews[]): void {
+    private sendFar(news: PeerUpdate[]): void {
         const relays = relaysOf(this.currentAudience().groups, this.parts.clock.wallTime());
-        this.send(relays, [{ from: this.parts.self, news }], PassOn.Group);
+        this.send(relays, [{ from: this.parts.self, news }], RelayScope.Group);
     }
 
     /** A placer tells the others; any other entry tells one, which passes it on. */
@@ -157,11 +157,11 @@
             this.send(others.map(({ address }) => address), messages);
         }
         else if (asked.length > 0) {
-            this.send([asked[0]!.address], messages, PassOn.Placers);
+            this.send([asked[0]!.address], messages, RelayScope.Placers);
         }
     }
 
-    private send(addresses: readonly string[], messages: PeerMessage[], passOn = PassOn.Nobody): void {
+    private send(addresses: readonly string[], messages: PeerMessage[], passOn = RelayScope.Nobody): void {
         if (addresses.length > 0) {
             this.parts.channel.send(addresses, { messages, passOn });
         }
--- a/src/core/membership/peerRegistry.ts
+++ b/src/core/membership/peerRegistry.ts
@@ -1,5 +1,5 @@
 /** Which other entries there are, as far as this one hears of them. */
-import type { KnownRevisions, PeerAddress, PeerIdentity, PeerStatus, ReadAges } from "../../ports/peerNewsPort.js";
+import type { KnownRevisions, PeerAddress, PeerIdentity, PeerStatus, ReadAges } from "../../ports/peerChannelPort.js";
 import { StateKind } from "../../ports/statePort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { PartLog } from "../../utils/log.js";
--- a/src/core/membership/peerState.ts
+++ b/src/core/membership/peerState.ts
@@ -1,12 +1,12 @@
 /** What the other entries know of stored objects, and which entries watch the store for all. */
-import type { ToldChange } from "../../ports/peerNewsPort.js";
+import type { StateDelta } from "../../ports/peerChannelPort.js";
 import type { PeerStatePort } from "../../ports/peerStatePort.js";
 import { StateKind, type StateValues } from "../../ports/statePort.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import type { Random } from "../../utils/random.js";
 import { ChangeSignal } from "../../utils/signal.js";
 import type { StatePeers } from "../configuration/stateFollower.js";
-import type { StateNews } from "../configuration/stateMirror.js";
+import type { StateUpdate } from "../configuration/stateMirror.js";
 import type { Membership } from "./membership.js";
 import type { LivingPeer } from "./peerRegistry.js";
 import type { Peers } from "./peers.js";
@@ -45,20 +45,20 @@
     }
 
     get living(): number {
-        return this.peers.living;
+        return this.peers.livingCount;
     }
 
     get unread(): number {
-        return this.peers.others().filter(({ reads }) => !reads).length;
+        return this.peers.livingPeers().filter(({ reads }) => !reads).length;
     }
 
-    tellRead(change: ToldChange | undefined): void {
+    tellRead(change: StateDelta | undefined): void {
         const small = change !== undefined && JSON.stringify(change).length <= toldBytesAtMost;
-        this.peers.sayStoreRead(small ? change : undefined);
+        this.peers.publishStoreRead(small ? change : undefined);
     }
 
     private get watchers(): number {
-        return this.peers.living <= fewEntries ? watchersOfFew : watchersOfMany;
+        return this.peers.livingCount <= fewEntries ? watchersOfFew : watchersOfMany;
     }
 
     get turn(): number {
@@ -70,12 +70,12 @@
     }
 
     ahead(kind: StateKind, revision: number | undefined): boolean {
-        return this.peers.others().some(peer => knownBy(peer, kind) > (revision ?? nothingKnown));
+        return this.peers.livingPeers().some(peer => knownBy(peer, kind) > (revision ?? nothingKnown));
     }
 
     readAt(kind: StateKind, revision: number | undefined): Milliseconds {
         const known = revision ?? nothingKnown;
-        const times = this.peers.others().filter(peer => knownBy(peer, kind) <= known).map(({ readAt }) =>
+        const times = this.peers.livingPeers().filter(peer => knownBy(peer, kind) <= known).map(({ readAt }) =>
             readAt[kind]
         );
         return Math.max(-Infinity, ...times.filter(time => time !== undefined));
@@ -84,13 +84,13 @@
     async learn<Kind extends StateKind>(
         kind: Kind,
         revision: number | undefined,
-    ): Promise<StateNews<StateValues[Kind]> | undefined> {
+    ): Promise<StateUpdate<StateValues[Kind]> | undefined> {
         const known = revision ?? nothingKnown;
-        const candidates = this.peers.others().filter(peer => knownBy(peer, kind) > known)
+        const candidates = this.peers.livingPeers().filter(peer => knownBy(peer, kind) > known)
             .map(peer => ({ peer, order: this.random.next() + (peer.dataCentre === this.dataCentre ? 0 : 1) }))
             .sort((left, right) => left.order - right.order);
         for (const { peer } of candidates.slice(0, askedAtMost)) {
-            const news = await this.port.ask(peer.identity.address, kind, known, answerAtMost);
+            const news = await this.port.fetchUpdate(peer.identity.address, kind, known, answerAtMost);
             if (news) {
                 return news;
             }
--- a/src/core/membership/peers.ts
+++ b/src/core/membership/peers.ts
@@ -1,24 +1,24 @@
 /** What this entry and the others tell one another. */
 import type {
+    AdvertisedLimit,
     KnownRevisions,
     PeerAddress,
+    PeerChannelPort,
     PeerIdentity,
-    PeerNews,
-    PeerNewsPort,
     PeerPacket,
     PeerStatus,
+    PeerUpdate,
     ReadAges,
-    ToldChange,
-    ToldLimit,
-} from "../../ports/peerNewsPort.js";
+    StateDelta,
+} from "../../ports/peerChannelPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { PartLog } from "../../utils/log.js";
-import { EndpointFate, type OutcomeNews } from "../placement/failureView.js";
+import { type OutcomeUpdate, SendResult } from "../placement/failureTracker.js";
 import type { PlacementAnswer, PlacementQuestion } from "../placement/placementQuestion.js";
-import type { LoadNews, SharedLoads } from "../placement/sharedLoads.js";
+import type { LoadUpdate, SharedLoadEstimator } from "../placement/sharedLoadEstimator.js";
 import { atOnce, NewsSender, placing, settling } from "./newsSender.js";
 import { type LivingPeer, PeerRegistry } from "./peerRegistry.js";
-import { type PlacerCandidate, PlacerRoster, type Placers } from "./placers.js";
+import { type PlacerCandidate, PlacerRoster, type PlacerSet } from "./placers.js";
 import { SignsOfLife } from "./signsOfLife.js";
 import { placedWorks, travellingNews } from "./travellingWork.js";
 
@@ -29,8 +29,8 @@
 export interface PeersParts {
     clock: Clock;
     log: PartLog;
-    channel: PeerNewsPort;
-    loads: SharedLoads;
+    channel: PeerChannelPort;
+    loads: SharedLoadEstimator;
     /** Whether the others hear what this entry places. */
     tellsLoads: boolean;
     self: PeerIdentity;
@@ -47,10 +47,10 @@
     processors?: number;
     places?: () => boolean;
     /** What this entry knows of the limits that endpoints name, and what another one tells of them. */
-    limits?: () => ToldLimit[];
-    onLimits?: (told: readonly ToldLimit[]) => void;
+    limits?: () => AdvertisedLimit[];
+    onLimits?: (told: readonly AdvertisedLimit[]) => void;
     /** Another entry told what became of sends to an endpoint. */
-    onOutcome?: (endpoint: string, fate: EndpointFate) => void;
+    onOutcome?: (endpoint: string, fate: SendResult) => void;
     /** Another entry asks where a request should go. */
     onPlacementAsked?: (from: string, question: PlacementQuestion) => PlacementAnswer;
     onPlacementAnswered?: (answer: PlacementAnswer) => void;
@@ -61,7 +61,7 @@
     /** Called when an entry says what it knows of stored objects, and on a timer. */
     onState: () => void = () => {};
     /** Called with changes of stored objects that another entry tells. */
-    onChange: (change: ToldChange) => void = () => {};
+    onStateDelta: (change: StateDelta) => void = () => {};
     /** Whether other groups must hear all of this entry's signs of life, as they depend on it. */
     vital: () => boolean = () => false;
     private wasMet = false;
@@ -86,27 +86,27 @@
             status: nextIn => this.status(nextIn),
         });
         if (parts.tellsLoads) {
-            parts.loads.tell = news => this.tellLoad(news);
+            parts.loads.publish = news => this.tellLoad(news);
         }
     }
 
     /** Entries that were heard of late, this one included. */
-    get living(): number {
+    get livingCount(): number {
         return this.registry.living().length + 1;
     }
 
     /** How long a placement takes to be known by most entries. */
-    get newsDelay(): Milliseconds {
+    get propagationDelay(): Milliseconds {
         return this.sender.delay;
     }
 
     /** The other entries that were heard of late. */
-    others(): readonly LivingPeer[] {
+    livingPeers(): readonly LivingPeer[] {
         return this.registry.living();
     }
 
     /** Who chooses endpoints for all. */
-    placers(): Placers {
+    placers(): PlacerSet {
         return this.roster.current();
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Takes the entries that the store lists. */
-    listed(addresses: readonly PeerAddress[]): void {
+    applyListing(addresses: readonly PeerAddress[]): void {
         this.registry.list(addresses);
         this.wasMet = true;
         this.sender.regroup();
@@ -167,7 +167,7 @@
     }
 
     /** Takes a datagram. */
-    hear({ messages, passOn }: PeerPacket): void {
+    receive({ messages, passOn }: PeerPacket): void {
         const others = messages.filter(({ from }) => from.id !== this.parts.self.id);
         this.sender.passOn(others, passOn);
         for (const { from, news } of others) {
@@ -179,7 +179,7 @@
     }
 
     /** Says that this entry lives until `signal` aborts. */
-    async sayAlive(signal: AbortSignal): Promise<void> {
+    async runHeartbeats(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             const interval = this.signs.say(this.vital());
             this.registry.tidy();
@@ -189,13 +189,13 @@
     }
 
     /** Tells the others that the store has answered, and what has changed where that is small. */
-    sayStoreRead(change: ToldChange | undefined): void {
+    publishStoreRead(change: StateDelta | undefined): void {
         const { known, readAges } = this.parts;
         this.sender.tell({ type: "StoreRead", known: known(), readAges: readAges(), change }, atOnce);
     }
 
     /** Tells what became of sends to an endpoint. Few entries tell only where nobody listens, as each sees enough itself. */
-    sayOutcome(news: OutcomeNews, nobodyListens: boolean): void {
+    publishOutcome(news: OutcomeUpdate, nobodyListens: boolean): void {
         if (!this.placers().everyone) {
             this.sender.tellPlacers(news, placing.near);
         }
@@ -205,7 +205,7 @@
     }
 
     /** Says that this entry stops. */
-    sayStopping(): void {
+    publishStopping(): void {
         this.sender.tell({ type: "Stopping" }, atOnce);
     }
 
@@ -248,15 +248,15 @@
         }
     }
 
-    private take(from: PeerIdentity, news: PeerNews): void {
+    private take(from: PeerIdentity, news: PeerUpdate): void {
         const { clock, loads } = this.parts;
         switch (news.type) {
             case "Placed":
-                loads.hear({ type: "Placed", works: placedWorks(news, clock.now()) });
+                loads.apply({ type: "Placed", works: placedWorks(news, clock.now()) });
                 return;
             case "Writing":
             case "Ended":
-                loads.hear(news);
+                loads.apply(news);
                 return;
             case "Alive":
                 if (news.inProgress) {
@@ -266,7 +266,7 @@
                 return;
             case "StoreRead":
                 if (news.change) {
-                    this.onChange(news.change);
+                    this.onStateDelta(news.change);
                 }
                 this.noteStatus(from.id, { known: news.known, readAges: news.readAges });
                 return;
@@ -319,7 +319,7 @@
 
     /** Work that an entry no longer has is over; those who don't hear the entry are told. */
     private keepOnly(owner: string, inProgress: readonly string[], before: Milliseconds): void {
-        const ended = this.parts.loads.keepOnly(owner, new Set(inProgress), before);
+        const ended = this.parts.loads.retainOnly(owner, new Set(inProgress), before);
         if (ended.length === 0 || this.placers().everyone || !this.placers().self) {
             return;
         }
@@ -328,7 +328,7 @@
         }
     }
 
-    private tellLoad(news: LoadNews): void {
+    private tellLoad(news: LoadUpdate): void {
         const urgency = news.type === "Placed" ? placing : settling;
         const told = travellingNews(news, this.parts.clock.now());
         if (this.placers().everyone) {
--- a/src/core/membership/placers.ts
+++ b/src/core/membership/placers.ts
@@ -34,7 +34,7 @@
 }
 
 /** Who chooses, as one entry sees it. */
-export interface Placers {
+export interface PlacerSet {
     /** Whether each entry chooses for itself. */
     everyone: boolean;
     /** Whether this entry chooses for others. */
@@ -46,7 +46,7 @@
 }
 
 /** The placers among `self` and `others`; all who know the same entries choose the same ones. */
-export const choosePlacers = (self: PlacerCandidate, others: readonly PlacerCandidate[]): Placers => {
+export const choosePlacers = (self: PlacerCandidate, others: readonly PlacerCandidate[]): PlacerSet => {
     if (others.length <= fewEntries) {
         return { everyone: true, self: true, others: [], asked: [] };
     }
@@ -90,7 +90,7 @@
 
 /** The placers as of now, without those that gave no answer of late. */
 export class PlacerRoster {
-    private kept: { until: Milliseconds; placers: Placers; } | undefined;
+    private kept: { until: Milliseconds; placers: PlacerSet; } | undefined;
     private readonly silences = new Map<string, { until: Milliseconds; length: Milliseconds; }>();
 
     constructor(
@@ -99,7 +99,7 @@
         private readonly others: () => readonly PlacerCandidate[],
     ) {}
 
-    current(): Placers {
+    current(): PlacerSet {
         const now = this.clock.now();
         if (!this.kept || now >= this.kept.until) {
             const placers = choosePlacers(this.self(), this.others());
--- a/src/core/membership/signsOfLife.ts
+++ b/src/core/membership/signsOfLife.ts
@@ -4,11 +4,11 @@
  * Load pattern: hundreds of entries that would do little else if each heard each other twice a second. Those hear it often who
  * go by it: who chooses endpoints for this entry, or is chosen for by it, and everybody where this entry watches the store.
  */
-import type { PeerNews, PeerStatus } from "../../ports/peerNewsPort.js";
+import type { PeerStatus, PeerUpdate } from "../../ports/peerChannelPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { NewsSender } from "./newsSender.js";
 import type { PeerRegistry } from "./peerRegistry.js";
-import type { Placers } from "./placers.js";
+import type { PlacerSet } from "./placers.js";
 
 /** How often an entry says that it lives. A lost message about an end is put right by the next one. */
 const signInterval: Milliseconds = 500;
@@ -34,7 +34,7 @@
     registry: PeerRegistry;
     sender: NewsSender;
     dataCentre: string;
-    placers: () => Placers;
+    placers: () => PlacerSet;
     /** Identifiers of this entry's requests in progress. */
     inProgress: () => string[];
     /** What this entry says of itself, with the time until it says so again. */
@@ -72,7 +72,7 @@
     }
 
     /** A sign as an answer to one that asks. */
-    alive(nextIn = signInterval, inProgress: string[] | undefined = this.parts.inProgress()): PeerNews {
+    alive(nextIn = signInterval, inProgress: string[] | undefined = this.parts.inProgress()): PeerUpdate {
         return { type: "Alive", inProgress, status: this.parts.status(nextIn) };
     }
 
--- a/src/core/membership/travellingWork.ts
+++ b/src/core/membership/travellingWork.ts
@@ -1,11 +1,11 @@
 /** Placed work as entries tell it to one another: times as what is left of them, as clocks differ. */
-import type { PeerNews } from "../../ports/peerNewsPort.js";
+import type { PeerUpdate } from "../../ports/peerChannelPort.js";
 import type { Milliseconds } from "../../utils/clock.js";
-import type { PlacedWork } from "../placement/engineBelief.js";
-import type { LoadNews } from "../placement/sharedLoads.js";
+import type { PlacedWork } from "../placement/engineEstimate.js";
+import type { LoadUpdate } from "../placement/sharedLoadEstimator.js";
 
 /** The news of this entry's work as others are told it. */
-export const travellingNews = (news: LoadNews, now: Milliseconds): PeerNews => {
+export const travellingNews = (news: LoadUpdate, now: Milliseconds): PeerUpdate => {
     switch (news.type) {
         case "Placed":
             return travelling(news.works, now);
@@ -16,7 +16,7 @@
     }
 };
 
-const travelling = (works: readonly PlacedWork[], now: Milliseconds): PeerNews => {
+const travelling = (works: readonly PlacedWork[], now: Milliseconds): PeerUpdate => {
     const { id, owner, readTokens, readTime, targetGap, value, yielding, firstEventIn, endsBy } = works[0]!;
     return {
         type: "Placed",
@@ -37,7 +37,7 @@
 
 /** The work that another entry told of, on this entry's clock. */
 export const placedWorks = (
-    { work: { endsIn, ...work }, parts }: Extract<PeerNews, { type: "Placed"; }>,
+    { work: { endsIn, ...work }, parts }: Extract<PeerUpdate, { type: "Placed"; }>,
     now: Milliseconds,
 ): PlacedWork[] =>
     parts.map(([endpoint, part, contextTokens]) => ({
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -18,7 +18,7 @@
     Router,
     Suspects,
     Waiter,
-    withinOrUndefined,
+    withTimeoutOrUndefined,
     Work,
 } from "../internal.js";
 
@@ -141,7 +141,7 @@
         }
         const endpoints = this.parts.table.eligible(work.service);
         const waited = this.parts.clock.now() - startedAt;
-        if (endpoints.length === 0 && (waited >= noEndpointMilliseconds || work.deadline.passed)) {
+        if (endpoints.length === 0 && (waited >= noEndpointMilliseconds || work.deadline.expired)) {
             const detail = `the service ${work.service} has no endpoint that may get new work`;
             throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, noEndpointRetrySeconds);
         }
@@ -246,7 +246,7 @@
     /** Several homes that are silent, asked one after the other, must not carry a request past its deadline. */
     private askHomesInTime(work: Work, avoid: ReadonlySet<string>): Promise<Placement | undefined> {
         const limit = work.deadline.remaining();
-        return withinOrUndefined(this.parts.clock, limit, "a permit", () => this.askHomes(work, avoid));
+        return withTimeoutOrUndefined(this.parts.clock, limit, "a permit", () => this.askHomes(work, avoid));
     }
 
     private async askHomes(work: Work, avoid: ReadonlySet<string>): Promise<Placement | undefined> {
@@ -265,7 +265,7 @@
         for (let index = 0; index < Math.min(homesAskedPerRound, open.length); index++) {
             const endpoint = open[(start + index) % open.length]!;
             const permit = await this.parts.coldStart.ask(endpoint, randomIdentifier(this.parts.random), suspect);
-            if (permit && work.deadline.passed) {
+            if (permit && work.deadline.expired) {
                 // Nobody waits for this place any more.
                 void this.parts.coldStart.giveBack(permit);
                 return undefined;
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/endpointSelector.ts
@@ -11,8 +11,8 @@
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { Demand } from "./demand.js";
 import { passTime, readTime, readTimeInPass, writeTime } from "./engineCost.js";
-import type { FailureView } from "./failureView.js";
-import { type EndpointLoad, readWait, type Waiting } from "./loadView.js";
+import type { FailureTracker } from "./failureTracker.js";
+import { type EndpointLoad, readWait, type WaitingRequest } from "./loadEstimator.js";
 import { chooseTeam, readPart, type TeamShare } from "./team.js";
 
 /** Slots that short prompts leave free when they are packed on one endpoint, for what is placed there at the same time. */
@@ -40,10 +40,10 @@
 const lookedAtLeast = 8;
 
 /** What is believed to be in progress. */
-export interface LoadSource {
+export interface LoadEstimates {
     load(endpoint: string): EndpointLoad;
     /** Placements by other entries that are probably not known here yet. */
-    readonly unheard: number;
+    readonly placementsInTransit: number;
     /** What engine time is worth. */
     readonly demand: Demand;
 }
@@ -52,7 +52,7 @@
 const patienceGaps = 8;
 
 /** What is to be placed. */
-export interface PlacementNeed {
+export interface PlacementRequirements {
     service: ServiceDefinition;
     promptTokens: number;
     answerTokens: number;
@@ -92,16 +92,16 @@
     /** Whether it should wait: its engine time would cost others more than it gains now. */
     postponed: boolean;
     /** Whether it is noted as work in progress already. */
-    noted: boolean;
+    recorded: boolean;
     /** The entry that chose it, where it isn't the one that sends. */
     chosenBy?: string;
 }
 
 /** What is lost when a generation is late, relative to others. Longer prompts are worth more. */
-export const valueOf = (promptTokens: number): number => 1 + promptTokens / 10_000;
+export const requestValue = (promptTokens: number): number => 1 + promptTokens / 10_000;
 
 /** Whether no engine has the memory for it alone. */
-export const needsSeveral = ({ service: { engine }, promptTokens, answerTokens }: PlacementNeed): boolean =>
+export const exceedsOneEngine = ({ service: { engine }, promptTokens, answerTokens }: PlacementRequirements): boolean =>
     engine !== undefined && promptTokens + answerTokens > engine.memoryTokens;
 
 /** The chance of being late, from a prediction and its target. */
@@ -109,16 +109,16 @@
     Math.min(1, Math.max(0, (predicted / target - lateFrom) / (lateInFull - lateFrom)));
 
 /** Chooses among endpoints that may get work. */
-export class Placer {
+export class EndpointSelector {
     constructor(
-        private readonly loads: LoadSource,
-        private readonly failures: FailureView,
+        private readonly loads: LoadEstimates,
+        private readonly failures: FailureTracker,
         private readonly random: Random,
         private readonly policy = PlacementPolicy.Predicted,
     ) {}
 
     /** The best endpoint of `candidates`; undefined when there is none. */
-    place(need: PlacementNeed, candidates: readonly KnownEndpoint[]): Placement | undefined {
+    select(need: PlacementRequirements, candidates: readonly KnownEndpoint[]): Placement | undefined {
         const willing = candidates.filter(({ record }) => !need.refused.has(record.id));
         const untried = anyOr(willing, ({ record }) => !need.broken.has(record.id));
         const awake = anyOr(untried, ({ record }) => !this.failures.resting(record.id));
@@ -129,7 +129,7 @@
             : this.placeCall(need, choice);
     }
 
-    private placeCall(need: PlacementNeed, candidates: readonly KnownEndpoint[]): Placement | undefined {
+    private placeCall(need: PlacementRequirements, candidates: readonly KnownEndpoint[]): Placement | undefined {
         const endpoint = cheapest(candidates, candidate => {
             const { requests } = this.loads.load(candidate.record.id);
             return requests / candidate.record.slots + this.plainCost(need, candidate);
@@ -146,17 +146,17 @@
                 yields: false,
                 whole: need.targetLatency,
                 postponed: false,
-                noted: false,
+                recorded: false,
             };
     }
 
     private placeGeneration(
-        need: PlacementNeed,
+        need: PlacementRequirements,
         engine: EngineProfile,
         candidates: readonly KnownEndpoint[],
     ): Placement | undefined {
         const alone = readTime(engine, need.promptTokens);
-        const overMemory = needsSeveral(need);
+        const overMemory = exceedsOneEngine(need);
         const team = alone > readPart * need.targetLatency || overMemory
             ? this.placeTeam(need, engine, candidates)
             : undefined;
@@ -187,7 +187,7 @@
             yields,
             whole,
             postponed: false,
-            noted: false,
+            recorded: false,
         };
     }
 
@@ -196,7 +196,7 @@
      * of. With all of them in view, dozens of entries with the same belief take the same endpoint within a few milliseconds.
      */
     private someOf(candidates: readonly KnownEndpoint[]): readonly KnownEndpoint[] {
-        const wanted = Math.max(lookedAtLeast, Math.round(candidates.length / (1 + this.loads.unheard)));
+        const wanted = Math.max(lookedAtLeast, Math.round(candidates.length / (1 + this.loads.placementsInTransit)));
         return wanted >= candidates.length ? candidates : this.shuffled(candidates).slice(0, wanted);
     }
 
@@ -206,11 +206,11 @@
     }
 
     private placeTeam(
-        need: PlacementNeed,
+        need: PlacementRequirements,
         engine: EngineProfile,
         candidates: readonly KnownEndpoint[],
     ): Placement | undefined {
-        const value = valueOf(need.promptTokens);
+        const value = requestValue(need.promptTokens);
         const willing = candidates.filter(({ record }) => !need.lacking.has(record.id));
         const team = chooseTeam({
             engine,
@@ -218,7 +218,7 @@
             answerTokens: need.answerTokens,
             targetLatency: need.targetLatency,
             // Entries that know nothing of one another would all take the first of those that seem idle.
-            candidates: this.loads.unheard === Infinity ? this.shuffled(willing) : willing,
+            candidates: this.loads.placementsInTransit === Infinity ? this.shuffled(willing) : willing,
             loadOf: ({ record }) => this.loads.load(record.id),
             lossOf: firstEvent =>
                 queueCost * value * firstEvent / need.targetLatency
@@ -255,32 +255,32 @@
             yields: false,
             whole,
             postponed,
-            noted: false,
+            recorded: false,
         };
     }
 
     /** Whether the engine time of a long prompt is worth more to others than what it still gains. */
     private costsMore(
-        need: PlacementNeed,
+        need: PlacementRequirements,
         engine: EngineProfile,
         firstEvent: Milliseconds,
         engines: number,
     ): boolean {
         const slotTime = slotTimeOf(engine, need);
         const price = this.loads.demand.price(need.service.name, engines, slotTime);
-        const gain = valueOf(need.promptTokens) * (1 - lossWhenLate(need, firstEvent));
+        const gain = requestValue(need.promptTokens) * (1 - lossWhenLate(need, firstEvent));
         return price * (readTime(engine, need.promptTokens) + slotTime) > gain;
     }
 
     /** What is lost by placing a read of `part` at a candidate. */
     private generationCost(
-        need: PlacementNeed,
+        need: PlacementRequirements,
         engine: EngineProfile,
         load: EndpointLoad,
         part: Milliseconds,
         candidate: KnownEndpoint,
     ): number {
-        const value = valueOf(need.promptTokens);
+        const value = requestValue(need.promptTokens);
         const firstEvent = predictFirstEvent(engine, load, part, need.answerTokens);
         let cost = value * lateness(firstEvent, Math.max(1, need.targetLeft));
         const pause = passTime(engine, load.writers + 1, load.contextTokens + need.promptTokens)
@@ -294,19 +294,19 @@
         return cost + this.plainCost(need, candidate) * value;
     }
 
-    private plainCost(need: PlacementNeed, { record }: KnownEndpoint): number {
+    private plainCost(need: PlacementRequirements, { record }: KnownEndpoint): number {
         return failureCost * this.failures.share(record.id)
             + (record.dataCentre === need.dataCentre ? 0 : distanceCost);
     }
 }
 
 /** Part of its value that a prompt loses with its first event after `firstEvent`: by its target, and by giving up. */
-const lossWhenLate = (need: PlacementNeed, firstEvent: Milliseconds): number =>
+const lossWhenLate = (need: PlacementRequirements, firstEvent: Milliseconds): number =>
     lateLoss * lateness(firstEvent, Math.max(1, need.targetLeft))
     + (1 - lateLoss) * lateness(firstEvent, Math.max(1, need.patienceLeft));
 
 /** What is lost when those that read or write at an endpoint wait so long for their next event. */
-const waitLossOf = (waiting: readonly Waiting[], wait: Milliseconds): number => {
+const waitLossOf = (waiting: readonly WaitingRequest[], wait: Milliseconds): number => {
     let loss = 0;
     for (const { targetGap, value } of waiting) {
         loss += value
@@ -344,7 +344,7 @@
     + Math.max(0, load.overdue - overdueSlack);
 
 /** Engine time that the answer of a usual request takes, when all slots are used. */
-const slotTimeOf = (engine: EngineProfile, need: PlacementNeed): Milliseconds =>
+const slotTimeOf = (engine: EngineProfile, need: PlacementRequirements): Milliseconds =>
     writeTime(engine, engine.usual?.answerTokens ?? need.answerTokens, engine.slots - 1, 0) / engine.slots;
 
 /** The wait beyond what is left of a pass that only writes; that much is the same everywhere. */
--- a/src/core/placement/engineBelief.ts
+++ b/src/core/placement/engineEstimate.ts
@@ -44,7 +44,7 @@
 }
 
 /** Work with what is believed to have become of it. */
-export interface BelievedWork extends PlacedWork {
+export interface EstimatedWork extends PlacedWork {
     placedAt: Milliseconds;
     /** Whether it is believed to write. */
     writing: boolean;
@@ -56,7 +56,7 @@
 
 /** What a pass reads of one request. */
 interface PassRead {
-    work: BelievedWork;
+    work: EstimatedWork;
     time: Milliseconds;
 }
 
@@ -66,8 +66,8 @@
 const readRest: Milliseconds = 0.01;
 
 /** The work of one endpoint, and its engine. */
-export class EngineBelief {
-    readonly works = new Map<string, BelievedWork>();
+export class EngineEstimate {
+    readonly works = new Map<string, EstimatedWork>();
     /** When a request here last had its first event. */
     progressAt: Milliseconds = -Infinity;
     private passBegan: Milliseconds = idle;
@@ -80,7 +80,7 @@
     constructor(private readonly engine: () => EngineProfile | undefined) {}
 
     /** Adds work as of `now`. */
-    add(work: BelievedWork, now: Milliseconds): void {
+    add(work: EstimatedWork, now: Milliseconds): void {
         this.advance(now);
         this.works.set(work.id, work);
         if (this.readsAlone && now < this.passEnds) {
@@ -130,7 +130,7 @@
     }
 
     /** What of the work is left to be read once the pass that runs is over. */
-    unread(work: BelievedWork): Milliseconds {
+    unread(work: EstimatedWork): Milliseconds {
         const inPass = this.reads.find(read => read.work === work)?.time ?? 0;
         return Math.max(0, work.readLeft - inPass);
     }
@@ -193,9 +193,9 @@
      * they came. Taken in the order of arrival, a part that later ones overtook would seem done while it holds up
      * everything else for seconds.
      */
-    private waitingReads(): BelievedWork[] {
-        const parts: BelievedWork[] = [];
-        const own: BelievedWork[] = [];
+    private waitingReads(): EstimatedWork[] {
+        const parts: EstimatedWork[] = [];
+        const own: EstimatedWork[] = [];
         for (const work of this.works.values()) {
             if (work.readLeft <= 0 || work.writing || work.yielding) {
                 continue;
@@ -212,7 +212,7 @@
 }
 
 /** What a pass reads: a chunk in each of its steps. */
-const readsOfPass = (engine: EngineProfile, waiting: readonly BelievedWork[]): PassRead[] => {
+const readsOfPass = (engine: EngineProfile, waiting: readonly EstimatedWork[]): PassRead[] => {
     let tokens = engine.chunkTokens * engine.stepsPerPass;
     const reads: PassRead[] = [];
     for (const work of waiting) {
--- a/src/core/placement/failureView.ts
+++ b/src/core/placement/failureTracker.ts
@@ -24,7 +24,7 @@
 }
 
 /** What became of sends to an endpoint, as entries tell it. */
-export enum EndpointFate {
+export enum SendResult {
     Succeeded = "succeeded",
     Failed = "failed",
     Lost = "lost",
@@ -32,10 +32,10 @@
 }
 
 /** News of it. */
-export interface OutcomeNews {
+export interface OutcomeUpdate {
     type: "Outcome";
     endpoint: string;
-    fate: EndpointFate;
+    fate: SendResult;
 }
 
 /** An endpoint that was lost. */
@@ -46,9 +46,9 @@
 }
 
 /** Outcomes by endpoint. */
-export class FailureView {
+export class FailureTracker {
     /** Gets what this entry found: each of hundreds of entries sees a few outcomes only. */
-    tell: (news: OutcomeNews, nobodyListens: boolean) => void = () => {};
+    publish: (news: OutcomeUpdate, nobodyListens: boolean) => void = () => {};
     private readonly records = new Map<string, Record>();
     private losses: Loss[] = [];
     private readonly suspectUntil = new Map<string, Milliseconds>();
@@ -56,9 +56,9 @@
     constructor(private readonly clock: Clock) {}
 
     /** Notes an answer of any status that isn't a failure of the endpoint. */
-    succeeded({ record: { id, dataCentre } }: KnownEndpoint): void {
+    recordSucceeded({ record: { id, dataCentre } }: KnownEndpoint): void {
         if (this.records.has(id) || this.suspects(dataCentre)) {
-            this.tell({ type: "Outcome", endpoint: id, fate: EndpointFate.Succeeded }, false);
+            this.publish({ type: "Outcome", endpoint: id, fate: SendResult.Succeeded }, false);
         }
         this.noteSuccess(id, dataCentre);
     }
@@ -75,8 +75,8 @@
     }
 
     /** Notes an answer that says the endpoint failed. */
-    failed(endpoint: string): void {
-        this.tell({ type: "Outcome", endpoint, fate: EndpointFate.Failed }, false);
+    recordFailed(endpoint: string): void {
+        this.publish({ type: "Outcome", endpoint, fate: SendResult.Failed }, false);
         this.noteFailure(endpoint);
     }
 
@@ -90,8 +90,8 @@
      * Notes that the endpoint couldn't be reached or broke off. An endpoint that is down stays listed for seconds;
      * without a rest each new request would find it idle and fail there.
      */
-    lost({ record: { id, dataCentre } }: KnownEndpoint): void {
-        this.tell({ type: "Outcome", endpoint: id, fate: EndpointFate.Lost }, false);
+    recordLost({ record: { id, dataCentre } }: KnownEndpoint): void {
+        this.publish({ type: "Outcome", endpoint: id, fate: SendResult.Lost }, false);
         this.noteLost(id, dataCentre);
     }
 
@@ -101,26 +101,26 @@
     }
 
     /** Notes that the endpoint said nothing for long. It may be busy; that tells nothing of its data centre. */
-    silent({ record }: KnownEndpoint): void {
-        this.tell({ type: "Outcome", endpoint: record.id, fate: EndpointFate.Silent }, false);
+    recordSilent({ record }: KnownEndpoint): void {
+        this.publish({ type: "Outcome", endpoint: record.id, fate: SendResult.Silent }, false);
         this.rest(record.id);
     }
 
     /** Takes what another entry found. Several find the same loss at about the same time; it counts once. */
-    hear({ record: { id, dataCentre } }: KnownEndpoint, fate: EndpointFate): void {
+    applyPeerResult({ record: { id, dataCentre } }: KnownEndpoint, fate: SendResult): void {
         switch (fate) {
-            case EndpointFate.Succeeded:
+            case SendResult.Succeeded:
                 this.noteSuccess(id, dataCentre);
                 return;
-            case EndpointFate.Failed:
+            case SendResult.Failed:
                 this.noteFailure(id);
                 return;
-            case EndpointFate.Lost:
+            case SendResult.Lost:
                 if (!this.resting(id)) {
                     this.noteLost(id, dataCentre);
                 }
                 return;
-            case EndpointFate.Silent:
+            case SendResult.Silent:
                 if (!this.resting(id)) {
                     this.rest(id);
                 }
@@ -129,9 +129,9 @@
     }
 
     /** Notes that nobody listens at the endpoint's address. The others should not find out one by one. */
-    unreachable(endpoint: KnownEndpoint): void {
-        this.tell({ type: "Outcome", endpoint: endpoint.record.id, fate: EndpointFate.Lost }, true);
-        this.hear(endpoint, EndpointFate.Lost);
+    recordUnreachable(endpoint: KnownEndpoint): void {
+        this.publish({ type: "Outcome", endpoint: endpoint.record.id, fate: SendResult.Lost }, true);
+        this.applyPeerResult(endpoint, SendResult.Lost);
     }
 
     /**
--- a/src/core/placement/loadView.ts
+++ b/src/core/placement/loadEstimator.ts
@@ -5,7 +5,7 @@
  */
 import type { EngineProfile } from "../../types/routing.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
-import { type BelievedWork, EngineBelief, type PlacedWork, WorkPart } from "./engineBelief.js";
+import { EngineEstimate, type EstimatedWork, type PlacedWork, WorkPart } from "./engineEstimate.js";
 
 /** Work in progress as one entry tells it to another that has just started: times as what is left of them. */
 export type WorkInProgress = Omit<PlacedWork, "endsBy"> & { endsIn: Milliseconds; writing: boolean; };
@@ -39,15 +39,15 @@
      */
     overdue: Milliseconds;
     /** Who reads and who writes here, as far as they mind waiting. */
-    reading: Waiting[];
-    writing: Waiting[];
+    reading: WaitingRequest[];
+    writing: WaitingRequest[];
 }
 
 /** Time until all that an endpoint reads now, and all that waits to be read, is done. */
 export const readWait = (load: EndpointLoad): Milliseconds => load.passLeft + load.readBacklog;
 
 /** A request that waits for its next event. */
-export interface Waiting {
+export interface WaitingRequest {
     /** The longest pause that its caller wants. */
     targetGap: Milliseconds;
     value: number;
@@ -74,8 +74,8 @@
 };
 
 /** Work in progress by endpoint. */
-export class LoadView {
-    private readonly beliefs = new Map<string, EngineBelief>();
+export class LoadEstimator {
+    private readonly beliefs = new Map<string, EngineEstimate>();
     /** Where the parts of work are placed. */
     private readonly endpointsOf = new Map<string, string[]>();
     /** When work ended that wasn't known, by endpoint and work. */
@@ -96,7 +96,7 @@
         }
         let belief = this.beliefs.get(endpoint);
         if (!belief) {
-            belief = new EngineBelief(() => this.engineOf(endpoint));
+            belief = new EngineEstimate(() => this.engineOf(endpoint));
             this.beliefs.set(endpoint, belief);
         }
         if (belief.works.has(id)) {
@@ -224,12 +224,12 @@
 });
 
 /** The work waits for its first event, or for the word of it, although it must be there by now. */
-const overdueOf = (work: BelievedWork, progressAt: Milliseconds, now: Milliseconds): Milliseconds =>
+const overdueOf = (work: EstimatedWork, progressAt: Milliseconds, now: Milliseconds): Milliseconds =>
     work.firstEventIn === undefined || work.yielding || work.begun
         ? 0
         : now - Math.max(work.placedAt + work.firstEventIn, progressAt);
 
-const noteWaiting = (list: Waiting[], { targetGap, value }: BelievedWork): void => {
+const noteWaiting = (list: WaitingRequest[], { targetGap, value }: EstimatedWork): void => {
     if (targetGap !== undefined) {
         list.push({ targetGap, value });
     }
@@ -237,7 +237,7 @@
 
 const endKey = (endpoint: string, id: string): string => `${endpoint} ${id}`;
 
-const addWork = (load: EndpointLoad, work: BelievedWork, unread: Milliseconds): void => {
+const addWork = (load: EndpointLoad, work: EstimatedWork, unread: Milliseconds): void => {
     if (work.part === WorkPart.Hold) {
         load.memoryTokens += work.contextTokens;
         if (work.readLeft <= 0) {
--- a/src/core/placement/placing.ts
+++ b/src/core/placement/placementClient.ts
@@ -11,11 +11,16 @@
 import type { EndpointDirectory, KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { PlacerCandidate } from "../membership/placers.js";
 import type { Metrics } from "../metrics.js";
-import { readWait } from "./loadView.js";
-import { endpointsOf, worksOf } from "./placedWorks.js";
-import type { PlacementAnswer, PlacementQuestion, TravellingPlacement } from "./placementQuestion.js";
-import { needsSeveral, type Placement, type PlacementNeed, type Placer } from "./placer.js";
-import type { SharedLoads } from "./sharedLoads.js";
+import {
+    type EndpointSelector,
+    exceedsOneEngine,
+    type Placement,
+    type PlacementRequirements,
+} from "./endpointSelector.js";
+import { readWait } from "./loadEstimator.js";
+import type { PlacementAnswer, PlacementQuestion, SerializedPlacement } from "./placementQuestion.js";
+import { endpointsOfPlacement, workOfPlacement } from "./placementWork.js";
+import type { SharedLoadEstimator } from "./sharedLoadEstimator.js";
 
 /** An answer takes a few milliseconds; an instance whose share of a processor is used up waits for longer than this. */
 const answerAtMost: Milliseconds = 40;
@@ -47,15 +52,15 @@
     directory: EndpointDirectory;
     cold: ColdBudget;
     limits: EndpointLimits;
-    placer: Placer;
-    loads: SharedLoads;
+    placer: EndpointSelector;
+    loads: SharedLoadEstimator;
     peers: PlacerPeers;
 }
 
 /** A request that looks for an endpoint. */
 export interface PlacementRequest {
     id: string;
-    need: PlacementNeed;
+    requirements: PlacementRequirements;
     /** When it has ended at the latest. */
     endsBy: Milliseconds;
 }
@@ -75,7 +80,7 @@
 type Waiter = (answer: PlacementAnswer | undefined) => void;
 
 /** Chooses endpoints for this entry's requests. */
-export class Placing {
+export class PlacementClient {
     private serial = 0;
     private readonly waiting = new Map<number, Waiter>();
     /** Requests whose answer didn't come in time, by question. */
@@ -89,7 +94,7 @@
             return this.chooseHere(request);
         }
         const answered = await this.ask(request, undefined);
-        if (answered?.answer.type === "NoEndpoint" && needsSeveral(request.need)) {
+        if (answered?.answer.type === "NoEndpoint" && exceedsOneEngine(request.requirements)) {
             // Only who knows all work in progress knows where memory is free.
             return undefined;
         }
@@ -106,18 +111,18 @@
     }
 
     /** Where else a request would go that may leave `endpoint`; nothing is noted. */
-    async alternative(request: PlacementRequest, endpoint: string): Promise<Alternative> {
+    async findAlternative(request: PlacementRequest, endpoint: string): Promise<Alternative> {
         const answer = (await this.ask(request, endpoint))?.answer;
         if (answer?.type === "Chosen") {
             return { placement: this.resolve(request, answer.placement, endpoint), busyFor: answer.busyFor };
         }
         const busyFor = readWait(this.parts.loads.load(endpoint));
-        const placement = this.parts.placer.place(request.need, this.candidates(request, endpoint));
+        const placement = this.parts.placer.select(request.requirements, this.candidates(request, endpoint));
         return { placement, busyFor };
     }
 
     /** Takes another entry's answer. */
-    hear(answer: PlacementAnswer): void {
+    receiveAnswer(answer: PlacementAnswer): void {
         const waiter = this.waiting.get(answer.serial);
         if (waiter) {
             waiter(answer);
@@ -126,14 +131,14 @@
         const requestId = this.late.get(answer.serial);
         if (requestId !== undefined && answer.type === "Chosen") {
             const { endpoint, helpers } = answer.placement;
-            this.parts.loads.end([endpoint, ...helpers], requestId);
+            this.parts.loads.recordEnded([endpoint, ...helpers], requestId);
         }
     }
 
     /** A placement won't be used. */
-    giveBack(placement: Placement, id: string): void {
-        if (placement.noted) {
-            this.parts.loads.end(endpointsOf(placement), id);
+    release(placement: Placement, id: string): void {
+        if (placement.recorded) {
+            this.parts.loads.recordEnded(endpointsOfPlacement(placement), id);
         }
     }
 
@@ -141,7 +146,7 @@
      * Endpoints that this entry may send a request to now. Where most have got what they named, all are left that bear a little
      * more: the few others would be filled up, and callers turned away.
      */
-    candidates({ need: { service } }: PlacementRequest, without?: string): KnownEndpoint[] {
+    candidates({ requirements: { service } }: PlacementRequest, without?: string): KnownEndpoint[] {
         const { clock, cold, directory, limits } = this.parts;
         const open = directory.usable(service.name).filter(({ record, coldUntil }) =>
             record.id !== without
@@ -154,9 +159,9 @@
     }
 
     /** Time until an endpoint whose limit is used up has room again; undefined where there is none. */
-    roomIn({ need: { service } }: PlacementRequest): Milliseconds | undefined {
+    timeUntilCapacity({ requirements: { service } }: PlacementRequest): Milliseconds | undefined {
         const spent = this.spent(service.name);
-        return spent.length === 0 ? undefined : Math.min(...spent.map(id => this.parts.limits.roomIn(id)));
+        return spent.length === 0 ? undefined : Math.min(...spent.map(id => this.parts.limits.timeUntilCapacity(id)));
     }
 
     /** Endpoints that have got this entry's share of what they take. */
@@ -168,7 +173,7 @@
     }
 
     private chooseHere(request: PlacementRequest): Placement | undefined {
-        const placement = this.parts.placer.place(request.need, this.candidates(request));
+        const placement = this.parts.placer.select(request.requirements, this.candidates(request));
         return placement && this.note(request, placement, false);
     }
 
@@ -177,10 +182,10 @@
         if (placement.postponed) {
             return placement;
         }
-        const { id, endsBy, need: { promptTokens, targetGap } } = request;
+        const { id, endsBy, requirements: { promptTokens, targetGap } } = request;
         const { loads, entry } = this.parts;
-        loads.place(worksOf(placement, { id, owner: entry, promptTokens, targetGap, endsBy }), known);
-        return { ...placement, noted: true };
+        loads.recordPlaced(workOfPlacement(placement, { id, owner: entry, promptTokens, targetGap, endsBy }), known);
+        return { ...placement, recorded: true };
     }
 
     /** Asks one placer after the other; undefined when none answers. */
@@ -239,7 +244,7 @@
 
     private question(serial: number, request: PlacementRequest, without: string | undefined): PlacementQuestion {
         const { clock } = this.parts;
-        const { service, broken, refused, lacking, dataCentre, ...need } = request.need;
+        const { service, broken, refused, lacking, dataCentre, ...need } = request.requirements;
         void dataCentre;
         const now = clock.now();
         const candidates = this.candidates(request);
@@ -263,7 +268,7 @@
     /** The placement with its endpoints as this entry knows them; undefined where one may not get work. */
     private resolve(
         request: PlacementRequest,
-        { endpoint, helpers, shares, ...rest }: TravellingPlacement,
+        { endpoint, helpers, shares, ...rest }: SerializedPlacement,
         without?: string,
     ): Placement | undefined {
         const usable = new Map(this.candidates(request, without).map(known => [known.record.id, known]));
@@ -277,19 +282,19 @@
             endpoint: first,
             helpers: others,
             shares: shares.map(([id, tokens]) => ({ endpoint: usable.get(id)!, tokens })),
-            noted: false,
+            recorded: false,
         };
     }
 
     /** Takes no placement of this entry's request on an endpoint that it knows better. */
-    private refuse({ id }: PlacementRequest, { endpoint, helpers, postponed }: TravellingPlacement): void {
+    private refuse({ id }: PlacementRequest, { endpoint, helpers, postponed }: SerializedPlacement): void {
         this.parts.log.info("An endpoint that was chosen for this entry may not get work.", {
             requestId: id,
             endpoint,
             helpers,
         });
         if (!postponed) {
-            this.parts.loads.end([endpoint, ...helpers], id);
+            this.parts.loads.recordEnded([endpoint, ...helpers], id);
         }
     }
 }
--- a/src/core/placement/placementQuestion.ts
+++ b/src/core/placement/placementQuestion.ts
@@ -1,10 +1,10 @@
 /** What one entry asks another that chooses endpoints for it, and what it is told. */
 import type { Milliseconds } from "../../utils/clock.js";
-import type { Placement, PlacementNeed } from "./placer.js";
+import type { Placement, PlacementRequirements } from "./endpointSelector.js";
 
 /** A request to be placed, as it travels. */
 export interface PlacementQuestion
-    extends Omit<PlacementNeed, "service" | "dataCentre" | "broken" | "refused" | "lacking"> {
+    extends Omit<PlacementRequirements, "service" | "dataCentre" | "broken" | "refused" | "lacking"> {
     /** Pairs the answer with the question; counts the asking entry's questions. */
     serial: number;
     /** Names the request over all entries. */
@@ -24,7 +24,8 @@
 }
 
 /** A placement with its endpoints by name. */
-export interface TravellingPlacement extends Omit<Placement, "endpoint" | "helpers" | "shares" | "noted" | "chosenBy"> {
+export interface SerializedPlacement
+    extends Omit<Placement, "endpoint" | "helpers" | "shares" | "recorded" | "chosenBy"> {
     endpoint: string;
     helpers: string[];
     shares: [endpoint: string, tokens: number][];
@@ -37,4 +38,4 @@
     /** No endpoint may get the request, or none has the memory. */
     | { type: "NoEndpoint"; serial: number; }
     /** `busyFor` is how long the endpoint that the question left out still reads what it has. */
-    | { type: "Chosen"; serial: number; placement: TravellingPlacement; busyFor: Milliseconds; };
+    | { type: "Chosen"; serial: number; placement: SerializedPlacement; busyFor: Milliseconds; };
--- a/src/core/placement/placementServer.ts
+++ b/src/core/placement/placementServer.ts
@@ -2,19 +2,19 @@
 import type { Clock } from "../../utils/clock.js";
 import type { RouteTable } from "../configuration/routeTable.js";
 import type { EndpointDirectory, KnownEndpoint } from "../membership/endpointDirectory.js";
-import { readWait } from "./loadView.js";
-import { endpointsOf, worksOf } from "./placedWorks.js";
-import type { PlacementAnswer, PlacementQuestion, TravellingPlacement } from "./placementQuestion.js";
-import type { Placement, Placer } from "./placer.js";
-import type { SharedLoads } from "./sharedLoads.js";
+import type { EndpointSelector, Placement } from "./endpointSelector.js";
+import { readWait } from "./loadEstimator.js";
+import type { PlacementAnswer, PlacementQuestion, SerializedPlacement } from "./placementQuestion.js";
+import { endpointsOfPlacement, workOfPlacement } from "./placementWork.js";
+import type { SharedLoadEstimator } from "./sharedLoadEstimator.js";
 
 /** What choosing for others needs. */
 export interface PlacementServerParts {
     clock: Clock;
     routes: () => RouteTable | undefined;
     directory: EndpointDirectory;
-    placer: Placer;
-    loads: SharedLoads;
+    placer: EndpointSelector;
+    loads: SharedLoadEstimator;
     dataCentre: string;
     /** Whether this entry hears what the others place. */
     places: () => boolean;
@@ -40,13 +40,13 @@
             refused: new Set(question.refused),
             lacking: new Set(question.lacking),
         };
-        const placement = placer.place(need, this.candidates(question));
+        const placement = placer.select(need, this.candidates(question));
         if (!placement) {
             return { type: "NoEndpoint", serial };
         }
         if (without === undefined && !placement.postponed) {
             const endsBy = clock.now() + endsIn;
-            loads.place(worksOf(placement, { id: requestId, owner, promptTokens, targetGap, endsBy }));
+            loads.recordPlaced(workOfPlacement(placement, { id: requestId, owner, promptTokens, targetGap, endsBy }));
         }
         return { type: "Chosen", serial, placement: travelling(placement), busyFor: this.busyFor(without) };
     }
@@ -66,9 +66,9 @@
     }
 }
 
-const travelling = (placement: Placement): TravellingPlacement => {
+const travelling = (placement: Placement): SerializedPlacement => {
     const { readTime, firstEvent, slotWait, readWait, whole, yields, postponed, shares } = placement;
-    const [endpoint, ...helpers] = endpointsOf(placement);
+    const [endpoint, ...helpers] = endpointsOfPlacement(placement);
     return {
         endpoint: endpoint!,
         helpers,
--- a/src/core/placement/placedWorks.ts
+++ b/src/core/placement/placementWork.ts
@@ -1,7 +1,7 @@
 /** What a placement puts on each of its endpoints. */
 import type { Milliseconds } from "../../utils/clock.js";
-import { type PlacedWork, WorkPart } from "./engineBelief.js";
-import { type Placement, valueOf } from "./placer.js";
+import { type Placement, requestValue } from "./endpointSelector.js";
+import { type PlacedWork, WorkPart } from "./engineEstimate.js";
 
 /** The request that was placed. */
 export interface PlacedRequest {
@@ -14,7 +14,7 @@
 }
 
 /** The work at the endpoint that gets the order, and at those that read or hold parts for it. */
-export const worksOf = (placement: Placement, request: PlacedRequest): PlacedWork[] => {
+export const workOfPlacement = (placement: Placement, request: PlacedRequest): PlacedWork[] => {
     const { id, owner, promptTokens, targetGap, endsBy } = request;
     const held = new Map(placement.shares.map(({ endpoint, tokens }) => [endpoint.record.id, tokens]));
     const work = {
@@ -23,7 +23,7 @@
         readTokens: promptTokens / (1 + placement.helpers.length),
         readTime: placement.readTime,
         targetGap,
-        value: valueOf(promptTokens),
+        value: requestValue(promptTokens),
         yielding: placement.yields,
         firstEventIn: placement.helpers.length === 0 ? placement.firstEvent : undefined,
         endsBy,
@@ -44,5 +44,5 @@
 };
 
 /** The endpoints of a placement, the one that gets the order first. */
-export const endpointsOf = (placement: Placement): string[] =>
+export const endpointsOfPlacement = (placement: Placement): string[] =>
     [placement.endpoint, ...placement.helpers].map(({ record }) => record.id);
--- a/src/core/placement/sharedLoads.ts
+++ b/src/core/placement/sharedLoadEstimator.ts
@@ -2,64 +2,64 @@
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { SlidingWindow } from "../../utils/slidingWindow.js";
 import { Demand } from "./demand.js";
-import type { PlacedWork } from "./engineBelief.js";
-import type { EndedWork, EndpointLoad, LoadView, WorkInProgress } from "./loadView.js";
+import type { PlacedWork } from "./engineEstimate.js";
+import type { EndedWork, EndpointLoad, LoadEstimator, WorkInProgress } from "./loadEstimator.js";
 
 /** Over which the rate of placements is taken. */
 const rateWindow: Milliseconds = 1_000;
 
 /** Something that happened to placed work. */
-export type LoadNews =
+export type LoadUpdate =
     | { type: "Placed"; works: readonly PlacedWork[]; }
     | { type: "Writing"; endpoint: string; id: string; }
     | { type: "Ended"; endpoints: readonly string[]; id: string; };
 
 /** Notes this entry's work, and tells of it. */
-export class SharedLoads {
+export class SharedLoadEstimator {
     /** Gets all news of this entry's own work. */
-    tell: (news: LoadNews) => void = () => {};
+    publish: (news: LoadUpdate) => void = () => {};
 
     /** What engine time is worth. */
     readonly demand: Demand;
     /** The service of an endpoint. */
     serviceOf: (endpoint: string) => string | undefined = () => undefined;
     /** How long news of a placement is on its way; infinite where this entry isn't told. */
-    newsDelay: () => Milliseconds = () => 0;
+    propagationDelay: () => Milliseconds = () => 0;
     private readonly placements: SlidingWindow;
 
-    constructor(private readonly view: LoadView, clock: Clock) {
+    constructor(private readonly view: LoadEstimator, clock: Clock) {
         this.placements = new SlidingWindow(clock, rateWindow);
         this.demand = new Demand(clock);
     }
 
     /** Placements by other entries that are probably on their way and not known here. */
-    get unheard(): number {
-        const delay = this.newsDelay();
+    get placementsInTransit(): number {
+        const delay = this.propagationDelay();
         return delay === Infinity ? Infinity : this.placements.count() / rateWindow * delay;
     }
 
     /** Notes that work was placed, with the parts that helpers read; `known` where it needn't be told. */
-    place(works: readonly PlacedWork[], known = false): void {
-        this.hear({ type: "Placed", works });
+    recordPlaced(works: readonly PlacedWork[], known = false): void {
+        this.apply({ type: "Placed", works });
         if (!known) {
-            this.tell({ type: "Placed", works });
+            this.publish({ type: "Placed", works });
         }
     }
 
     /** Notes that work writes its answer now. */
-    writes(endpoint: string, id: string): void {
-        this.hear({ type: "Writing", endpoint, id });
-        this.tell({ type: "Writing", endpoint, id });
+    recordWriting(endpoint: string, id: string): void {
+        this.apply({ type: "Writing", endpoint, id });
+        this.publish({ type: "Writing", endpoint, id });
     }
 
     /** Notes that work has ended at all of `endpoints`. */
-    end(endpoints: readonly string[], id: string): void {
-        this.hear({ type: "Ended", endpoints, id });
-        this.tell({ type: "Ended", endpoints, id });
+    recordEnded(endpoints: readonly string[], id: string): void {
+        this.apply({ type: "Ended", endpoints, id });
+        this.publish({ type: "Ended", endpoints, id });
     }
 
     /** Takes news, of this entry or another one. */
-    hear(news: LoadNews): void {
+    apply(news: LoadUpdate): void {
         switch (news.type) {
             case "Placed":
                 this.placements.add();
@@ -88,7 +88,7 @@
     }
 
     /** Drops what another entry placed before `before` and no longer has in progress, and returns it. */
-    keepOnly(owner: string, inProgress: ReadonlySet<string>, before: Milliseconds): EndedWork[] {
+    retainOnly(owner: string, inProgress: ReadonlySet<string>, before: Milliseconds): EndedWork[] {
         return this.view.keepOnly(owner, inProgress, before);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Takes what another entry knows to be in progress. */
-    learn(works: readonly WorkInProgress[]): void {
+    merge(works: readonly WorkInProgress[]): void {
         this.view.learn(works);
     }
 
--- a/src/core/placement/team.ts
+++ b/src/core/placement/team.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from "../../utils/clock.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 import { passTime, readTime } from "./engineCost.js";
-import { type EndpointLoad, readWait } from "./loadView.js";
+import { type EndpointLoad, readWait } from "./loadEstimator.js";
 
 /** Endpoints that read one prompt: the one that gets the order, and as many helpers as engines take. */
 export const readersAtMost = 16;
