--- a/src/core/serviceCall.ts
+++ b/src/core/serviceCall.ts
@@ -12,14 +12,14 @@
     Placer,
     RequestFailure,
     RetryBudget,
-    ServiceAnswer,
     ServiceLostError,
     ServicePort,
     ServiceRefusedError,
     ServiceRequest,
+    ServiceResponse,
     TimeLimitError,
     Timeline,
-    within,
+    withTimeout,
     Work,
 } from "../internal.js";
 
@@ -36,7 +36,7 @@
 
 /** The answer, and whether it is the kept answer of an earlier call. */
 export interface ServiceCallAnswer {
-    answer: ServiceAnswer;
+    answer: ServiceResponse;
     replayed: boolean;
 }
 
@@ -53,7 +53,7 @@
 
 /** How one send ended. */
 type SendOutcome =
-    | { type: "Answered"; answer: ServiceAnswer; }
+    | { type: "Answered"; answer: ServiceResponse; }
     | { type: "NotRun"; reason: string; }
     | { type: "Lost"; reason: string; };
 
@@ -76,7 +76,7 @@
         return { answer: await this.runClaimed(call, claimed.claim), replayed: false };
     }
 
-    private async runClaimed(call: ServiceCall, claim: HeldClaim): Promise<ServiceAnswer> {
+    private async runClaimed(call: ServiceCall, claim: HeldClaim): Promise<ServiceResponse> {
         try {
             const answer = await this.send(call, () => this.parts.claims.maySend(claim));
             await this.parts.claims.keep(claim, answer);
@@ -93,7 +93,7 @@
         }
     }
 
-    private async send(call: ServiceCall, mayStillSend: () => boolean): Promise<ServiceAnswer> {
+    private async send(call: ServiceCall, mayStillSend: () => boolean): Promise<ServiceResponse> {
         const { work } = call;
         const avoid = new Set<string>();
         let ran = false;
@@ -140,7 +140,7 @@
             const detail = `the call was sent and its answer was lost: ${reason}`;
             throw new RequestFailure(FailureKind.OutcomeUnknown, Execution.Unknown, detail);
         }
-        if (work.deadline.passed) {
+        if (work.deadline.expired) {
             throw new RequestFailure(FailureKind.DeadlineExceeded, Execution.Unknown, "the deadline passed", 1);
         }
         if (!this.parts.retries.takeRetry()) {
@@ -152,12 +152,12 @@
     private async sendOnce(call: ServiceCall, placement: Placement, mayStillSend: () => boolean): Promise<SendOutcome> {
         const { work } = call;
         // From this check to the send there is no await: a process paused before it must not send on waking.
-        if (!mayStillSend() || !placement.sendAllowed() || work.deadline.passed) {
+        if (!mayStillSend() || !placement.sendAllowed() || work.deadline.expired) {
             return { type: "NotRun", reason: "it was too late to send" };
         }
         const address = placement.endpoint.record.address;
         try {
-            const answer = await within(
+            const answer = await withTimeout(
                 this.parts.clock,
                 work.deadline.remaining(),
                 "the service's answer",
--- a/src/core/suspects.ts
+++ b/src/core/suspects.ts
@@ -7,7 +7,7 @@
 const sharedSuspects = 64;
 
 /** What entries tell one another of a suspect. */
-export interface SuspectNews {
+export interface SuspectUpdate {
     fingerprint: string;
     /** Endpoint incarnations that died with this request on them. */
     crashed: string[];
@@ -89,9 +89,9 @@
     }
 
     /** The newest suspects, for peers. */
-    news(): SuspectNews[] {
+    news(): SuspectUpdate[] {
         const now = this.clock.now();
-        const news: SuspectNews[] = [];
+        const news: SuspectUpdate[] = [];
         for (const [fingerprint, suspect] of [...this.suspects].reverse()) {
             if (news.length >= sharedSuspects) {
                 break;
@@ -109,7 +109,7 @@
     }
 
     /** Takes what a peer knows. */
-    takeNews(news: readonly SuspectNews[]): void {
+    takeNews(news: readonly SuspectUpdate[]): void {
         const now = this.clock.now();
         for (const { fingerprint, crashed, pardoned, remainingMilliseconds } of news) {
             const suspect = this.suspects.get(fingerprint);
--- a/src/load/booker.ts
+++ b/src/load/booker.ts
@@ -1,5 +1,5 @@
 /** A caller that books a place and asks again under the same key until it knows what became of it. */
-import { Clock, exchange, Milliseconds, readBody } from "../internal.js";
+import { Clock, Milliseconds, readBody, sendRequest } from "../internal.js";
 
 /** What a booking's caller was told last. */
 export enum BookingEnd {
@@ -46,7 +46,7 @@
     options: BookingOptions,
 ): Promise<AttemptResult> => {
     try {
-        const answer = await exchange({
+        const answer = await sendRequest({
             address: target,
             method: "POST",
             path: "/services/bookings/places",
--- a/src/load/caller.ts
+++ b/src/load/caller.ts
@@ -1,6 +1,6 @@
 /** One caller of the load tool: sends a request and judges its answer. */
 import { createParser } from "eventsource-parser";
-import { Clock, exchange, ExchangeError, IncomingAnswer, Milliseconds, readBody } from "../internal.js";
+import { Clock, ExchangeError, IncomingResponse, Milliseconds, readBody, sendRequest } from "../internal.js";
 import { expectedAnswer } from "../standins/answer.js";
 import { Arrival } from "./arrivals.js";
 
@@ -51,7 +51,7 @@
     firstTokenAt: Milliseconds | undefined;
 }
 
-const readStream = async (clock: Clock, answer: IncomingAnswer): Promise<StreamState> => {
+const readStream = async (clock: Clock, answer: IncomingResponse): Promise<StreamState> => {
     const state: StreamState = { text: "", done: false, problem: undefined, firstTokenAt: undefined };
     const parser = createParser({
         onEvent: event => {
@@ -98,7 +98,7 @@
     const startedAt = clock.now();
     const base = { index: arrival.index, target, promptTokens: arrival.promptTokens, startedAt };
     try {
-        const answer = await exchange({
+        const answer = await sendRequest({
             address: target,
             method: "POST",
             path: "/v1/completions",
@@ -146,7 +146,7 @@
 const refusedRecord = async (
     clock: Clock,
     base: Pick<CallRecord, "index" | "target" | "promptTokens" | "startedAt">,
-    answer: IncomingAnswer,
+    answer: IncomingResponse,
 ): Promise<CallRecord> => {
     const text = (await readBody(answer.body, problemLimitBytes)).toString("utf8");
     const problem = JSON.parse(text) as Partial<CallRecord>;
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -1,5 +1,5 @@
 /** Runs an experiment: open-loop arrivals over several entries, with faults at given times. */
-import { Clock, exchangeJson, Milliseconds } from "../internal.js";
+import { Clock, Milliseconds, requestJson } from "../internal.js";
 import { ArrivalPlan, planArrivals } from "./arrivals.js";
 import { callOnce, CallOptions, CallRecord } from "./caller.js";
 
@@ -23,7 +23,7 @@
 const setFault = async (clock: Clock, fault: TimedFault): Promise<void> => {
     await clock.sleep(fault.at);
     const order = { fault: fault.fault, value: fault.value };
-    await exchangeJson({ address: fault.address, method: "POST", path: "/faults" }, order);
+    await requestJson({ address: fault.address, method: "POST", path: "/faults" }, order);
 };
 
 /** Sends every request at its time, whatever became of those before, and waits for all of them. */
--- a/src/ports/forwardingPorts.ts
+++ b/src/ports/forwardingPorts.ts
@@ -14,7 +14,7 @@
 }
 
 /** What the head of a caller's request says. */
-export interface CallerHead {
+export interface RequestHead {
     /** Names this attempt of the caller. */
     id: string;
     method: string;
@@ -35,7 +35,7 @@
 }
 
 /** One request of a caller, read whole. */
-export interface ForwardedRequest extends CallerHead {
+export interface ForwardedRequest extends RequestHead {
     body: Buffer;
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** One request as it goes to one endpoint. */
-export interface EndpointOrder {
+export interface EndpointAttempt {
     request: ForwardedRequest;
     endpoint: EndpointRecord;
     /** What is left of the caller's time. */
@@ -83,19 +83,19 @@
 }
 
 /** Status and headers of an endpoint's answer, as they go to the caller. */
-export interface AnswerHead {
+export interface ResponseHead {
     status: number;
     headers: HeaderList;
 }
 
 /** What an endpoint says of itself in an answer. */
-export interface EndpointWord {
+export interface EndpointHints {
     /** Requests a second that it takes from all entries together; undefined where it names no limit. */
     limitPerSecond: number | undefined;
 }
 
 /** An endpoint's own word that it hasn't run an order and won't. */
-export interface Refusal extends EndpointWord {
+export interface Refusal extends EndpointHints {
     type: "Refused";
     reason: RefusalReason;
     coldFor: Milliseconds | undefined;
@@ -104,14 +104,14 @@
 }
 
 /** What became of an order. */
-export type EndpointOutcome =
-    /** Not a byte of it was written; `nobodyListens` where the endpoint's instance said so. */
-    | { type: "Unreached"; reason: string; nobodyListens: boolean; }
+export type AttemptOutcome =
+    /** Not a byte of it was written; `connectionRefused` where the endpoint's instance said so. */
+    | { type: "Unreached"; reason: string; connectionRefused: boolean; }
     | Refusal
     /** It may have run; no whole answer came. */
     | { type: "Broken"; reason: string; }
-    | EndpointWord & { type: "Answered"; head: AnswerHead; body: Buffer; }
-    | EndpointWord & { type: "Streaming"; head: AnswerHead; events: AsyncIterable<StreamEvent>; };
+    | EndpointHints & { type: "Answered"; head: ResponseHead; body: Buffer; }
+    | EndpointHints & { type: "Streaming"; head: ResponseHead; events: AsyncIterable<StreamEvent>; };
 
 /** A stream ended before its last event was whole. */
 export class StreamBrokenError extends DandelionrampError {}
@@ -122,26 +122,26 @@
 /** The endpoints. */
 export interface EndpointPort {
     /** Sends an order. An abort of `signal` cancels it at the endpoint; the outcome is then of no interest. */
-    send(order: EndpointOrder, signal: AbortSignal): Promise<EndpointOutcome>;
+    send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome>;
 }
 
 /** The caller's side of one request. */
 export interface CallerExchange {
-    readonly head: CallerHead;
+    readonly head: RequestHead;
     /** Aborts when the caller has left. */
-    readonly left: AbortSignal;
+    readonly disconnected: AbortSignal;
     /** Reads the body. Throws a failure when it is over `limitBytes` or doesn't come whole. */
     readBody(limitBytes: number): Promise<Buffer>;
     /** Passes an endpoint's whole answer on. */
-    answer(head: AnswerHead, body: Buffer): void;
+    respond(head: ResponseHead, body: Buffer): void;
     /** Begins a stream. */
-    begin(head: AnswerHead): void;
+    beginStream(head: ResponseHead): void;
     /** Passes bytes on; resolves when the caller's connection takes more. */
     write(bytes: Buffer): Promise<void>;
     /** Ends a stream that is whole. */
-    end(): void;
+    endStream(): void;
     /** Breaks a stream off, so that it can't look whole. */
-    cut(): void;
+    abortStream(): void;
     /** Answers with a failure of our own. */
     fail(failure: RequestFailure): void;
 }
--- a/src/ports/memoryPort.ts
+++ b/src/ports/memoryPort.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "../utils/clock.js";
 
 /** Memory of one endpoint for one send. */
-export interface MemoryShare {
+export interface MemoryReservation {
     /** Names the reservation; no other send ever uses it. */
     reservation: string;
     endpoint: EndpointRecord;
@@ -11,7 +11,7 @@
 }
 
 /** An endpoint's answer to a reservation. */
-export enum ReservationAnswer {
+export enum ReservationResult {
     Held = "held",
     /** Not free; nothing was set aside. */
     Refused = "refused",
@@ -22,7 +22,7 @@
 /** Memory of endpoints. Every call ends within its limit and never throws. */
 export interface MemoryPort {
     /** Sets memory aside for `hold`, or renews it. */
-    reserve(share: MemoryShare, hold: Milliseconds, limit: Milliseconds): Promise<ReservationAnswer>;
+    reserve(share: MemoryReservation, hold: Milliseconds, limit: Milliseconds): Promise<ReservationResult>;
     /** Gives memory back; tells whether the endpoint has said so. */
-    release(share: MemoryShare, limit: Milliseconds): Promise<boolean>;
+    release(share: MemoryReservation, limit: Milliseconds): Promise<boolean>;
 }
--- a/src/ports/peerNewsPort.ts
+++ b/src/ports/peerChannelPort.ts
@@ -1,12 +1,12 @@
 /** What the core needs of the channel between entries: datagrams that may be lost, doubled, late or out of order. */
-import type { PlacedWork, WorkPart } from "../core/placement/engineBelief.js";
-import type { OutcomeNews } from "../core/placement/failureView.js";
+import type { PlacedWork, WorkPart } from "../core/placement/engineEstimate.js";
+import type { OutcomeUpdate } from "../core/placement/failureTracker.js";
 import type { PlacementAnswer, PlacementQuestion } from "../core/placement/placementQuestion.js";
 import type { Milliseconds } from "../utils/clock.js";
 import type { StateChange, StateKind } from "./statePort.js";
 
 /** What the work of one send has in common wherever a part of it is placed; its end as time left, as clocks differ. */
-export type TravellingWork = Omit<PlacedWork, "endsBy" | "endpoint" | "part" | "contextTokens"> & {
+export type SerializedWork = Omit<PlacedWork, "endsBy" | "endpoint" | "part" | "contextTokens"> & {
     endsIn: Milliseconds;
 };
 
@@ -14,7 +14,7 @@
  * Where a part of it is placed: endpoint, part, tokens of context. Short, since it goes to all entries: a dozen parts
  * spelled out fill a thin link for a tenth of a second, and messages behind them are lost.
  */
-export type TravellingPart = [endpoint: string, part: WorkPart, contextTokens: number];
+export type SerializedPart = [endpoint: string, part: WorkPart, contextTokens: number];
 
 /** Who sends, and which life of its process. */
 export interface PeerIdentity {
@@ -35,7 +35,7 @@
 export type ReadAges = Partial<Record<StateKind, Milliseconds>>;
 
 /** The newest word of an endpoint on the requests a second that it takes from all entries together. */
-export interface ToldLimit {
+export interface AdvertisedLimit {
     endpoint: string;
     /** Undefined where it names no limit any more. */
     perSecond: number | undefined;
@@ -44,7 +44,7 @@
 }
 
 /** Changes of a kind of stored objects, for who knows what held before them. */
-export interface ToldChange {
+export interface StateDelta {
     kind: StateKind;
     /** Known by whoever may take the changes. */
     after: number;
@@ -68,20 +68,20 @@
     processors: number;
     /** Whether it could choose endpoints for others. */
     places: boolean;
-    limits: ToldLimit[];
+    limits: AdvertisedLimit[];
 }
 
 /** One piece of news. */
-export type PeerNews =
-    | { type: "Placed"; work: TravellingWork; parts: TravellingPart[]; }
+export type PeerUpdate =
+    | { type: "Placed"; work: SerializedWork; parts: SerializedPart[]; }
     | { type: "Writing"; endpoint: string; id: string; }
     | { type: "Ended"; endpoints: string[]; id: string; }
     /** Sent on a timer: the sender lives, and these requests are all that it has in progress, where they are named. */
     | { type: "Alive"; inProgress: string[] | undefined; status: PeerStatus; }
     /** Sent when the store answered the sender; with what changed where it is small. */
-    | { type: "StoreRead"; known: KnownRevisions; readAges: ReadAges; change: ToldChange | undefined; }
+    | { type: "StoreRead"; known: KnownRevisions; readAges: ReadAges; change: StateDelta | undefined; }
     /** What became of a send to an endpoint. */
-    | OutcomeNews
+    | OutcomeUpdate
     | { type: "PlacementAsked"; question: PlacementQuestion; }
     | { type: "PlacementAnswered"; answer: PlacementAnswer; }
     | { type: "Stopping"; }
@@ -92,11 +92,11 @@
 /** What one entry tells. */
 export interface PeerMessage {
     from: PeerIdentity;
-    news: PeerNews[];
+    news: PeerUpdate[];
 }
 
 /** Whom the receiver of a datagram tells in turn. */
-export enum PassOn {
+export enum RelayScope {
     Nobody = "nobody",
     /** The others of its group. */
     Group = "group",
@@ -107,11 +107,11 @@
 /** What one datagram holds. */
 export interface PeerPacket {
     messages: PeerMessage[];
-    passOn: PassOn;
+    passOn: RelayScope;
 }
 
 /** The channel. */
-export interface PeerNewsPort {
+export interface PeerChannelPort {
     /** Sends to each address, once and without an answer. */
     send(addresses: readonly string[], packet: PeerPacket): void;
 }
--- a/src/ports/peerPort.ts
+++ b/src/ports/peerPort.ts
@@ -1,5 +1,5 @@
 /** What entries say to one another. */
-import { DandelionrampError, InstanceRecord, InstanceState, ObjectPage, SuspectNews } from "../internal.js";
+import { DandelionrampError, InstanceRecord, InstanceState, ObjectPage, SuspectUpdate } from "../internal.js";
 
 /** What an entry tells a peer several times a second. */
 export interface Heartbeat {
@@ -10,7 +10,7 @@
     configurationRevision: number;
     /** Data centres and instances taken out by operators and not yet written to the platform. */
     provisionalOuts: ProvisionalOut[];
-    suspects: SuspectNews[];
+    suspects: SuspectUpdate[];
     /** Version of the home table this entry has seen last. */
     homesVersion: number;
     /** Whether this entry's platform calls fail at present. */
@@ -44,7 +44,7 @@
 }
 
 /** Whether the home allows it. */
-export enum PermitAnswer {
+export enum PermitDecision {
     Granted = "granted",
     Denied = "denied",
 }
@@ -74,7 +74,7 @@
 export interface PeerPort {
     heartbeat(address: string, heartbeat: Heartbeat): Promise<Heartbeat>;
     configurationSince(address: string, revision: number): Promise<PeerConfiguration>;
-    requestPermit(address: string, request: PermitRequest): Promise<PermitAnswer>;
+    requestPermit(address: string, request: PermitRequest): Promise<PermitDecision>;
     returnPermit(address: string, request: PermitRequest): Promise<void>;
     claimProgress(address: string, claimName: string, nonce: string): Promise<ClaimProgress>;
     keyHistory(address: string, claimName: string): Promise<KeyHistory>;
--- a/src/ports/servicePort.ts
+++ b/src/ports/servicePort.ts
@@ -13,7 +13,7 @@
 }
 
 /** The service's whole answer. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
     status: number;
     contentType?: string;
     body: Buffer;
@@ -34,5 +34,5 @@
 export interface ServicePort {
     report(address: string): Promise<EndpointReport>;
     /** Throws {@link ServiceLostError} or {@link ServiceRefusedError}. */
-    call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer>;
+    call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse>;
 }
--- a/src/replay/simulatedCaller.ts
+++ b/src/replay/simulatedCaller.ts
@@ -1,9 +1,9 @@
 /** A caller of a replay: asks, comes back when told to, goes on where its stream was cut, and judges what it gets. */
 import type { EntryCore } from "../core/entryCore.js";
 import { Execution, type RequestFailure } from "../core/failures.js";
-import type { AnswerHead, CallerExchange, CallerHead } from "../ports/forwardingPorts.js";
+import type { CallerExchange, RequestHead, ResponseHead } from "../ports/forwardingPorts.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
-import { cancel } from "../utils/signal.js";
+import { abortQuietly } from "../utils/signal.js";
 import type { PatternKind } from "./pattern.js";
 import type { ReplayArrival } from "./replayArrivals.js";
 import type { SimulatedFleet } from "./simulatedFleet.js";
@@ -138,7 +138,7 @@
         this.lastEvent++;
     }
 
-    private head(id: string): CallerHead {
+    private head(id: string): RequestHead {
         const { answerAtMost, answerEvents } = this.kind;
         const { stepsPerPass } = this.parts.fleet.profile;
         return {
@@ -170,9 +170,9 @@
     private readonly leaving = new AbortController();
     private wake: () => void = () => {};
 
-    constructor(readonly head: CallerHead, private readonly take: () => void) {}
+    constructor(readonly head: RequestHead, private readonly take: () => void) {}
 
-    get left(): AbortSignal {
+    get disconnected(): AbortSignal {
         return this.leaving.signal;
     }
 
@@ -185,18 +185,18 @@
 
     leave(): void {
         this.result = { type: "Left" };
-        cancel(this.leaving);
+        abortQuietly(this.leaving);
     }
 
     readBody(): Promise<Buffer> {
         return Promise.resolve(Buffer.alloc(0));
     }
 
-    answer(): void {
+    respond(): void {
         this.finish({ type: "Cut" });
     }
 
-    begin(head: AnswerHead): void {
+    beginStream(head: ResponseHead): void {
         void head;
     }
 
@@ -206,11 +206,11 @@
         return Promise.resolve();
     }
 
-    end(): void {
+    endStream(): void {
         this.finish({ type: "Whole" });
     }
 
-    cut(): void {
+    abortStream(): void {
         this.finish({ type: "Cut" });
     }
 
--- a/src/replay/simulatedEntries.ts
+++ b/src/replay/simulatedEntries.ts
@@ -1,6 +1,6 @@
 /** Entries of a replay: the real decisions, with messages in simulated time in place of sockets. */
 import { EntryCore } from "../core/entryCore.js";
-import type { PeerIdentity, PeerNewsPort, PeerPacket } from "../ports/peerNewsPort.js";
+import type { PeerChannelPort, PeerIdentity, PeerPacket } from "../ports/peerChannelPort.js";
 import { StateKind } from "../ports/statePort.js";
 import type { EndpointRecord, PlacementPolicy, RoutingConfiguration } from "../types/routing.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
@@ -51,8 +51,8 @@
         }));
         this.entries = identities.map((self, index) => this.start(self, `centre-${index % parts.dataCentres}`));
         for (const entry of this.entries) {
-            entry.peers.listed(identities);
-            void entry.peers.sayAlive(new AbortController().signal);
+            entry.peers.applyListing(identities);
+            void entry.peers.runHeartbeats(new AbortController().signal);
         }
     }
 
@@ -80,7 +80,7 @@
         const revision = ++this.revision;
         const change = { name: dataCentre, revision, value: true as const, removed: !out };
         for (const { directory } of this.entries) {
-            directory.out.apply({ revision, changes: [change] }, false);
+            directory.excludedDataCentres.apply({ revision, changes: [change] }, false);
         }
     }
 
@@ -120,14 +120,14 @@
         return entry;
     }
 
-    private channel(from: string): PeerNewsPort {
+    private channel(from: string): PeerChannelPort {
         const { clock, random, delay, loss } = this.parts;
         return {
             send: (addresses: readonly string[], packet: PeerPacket) => {
                 for (const address of addresses) {
                     this.sent++;
                     if (random.next() >= loss && !this.cutOff.has(from) && !this.cutOff.has(address)) {
-                        clock.after(delay, () => this.byAddress.get(address)?.peers.hear(packet));
+                        clock.after(delay, () => this.byAddress.get(address)?.peers.receive(packet));
                     }
                 }
             },
--- a/src/replay/simulatedFleet.ts
+++ b/src/replay/simulatedFleet.ts
@@ -1,13 +1,13 @@
 /** Engines in simulated time, as entries reach them: orders, memory set aside, deaths and silence. */
 import {
-    type EndpointOrder,
-    type EndpointOutcome,
+    type AttemptOutcome,
+    type EndpointAttempt,
     type EndpointPort,
     RefusalReason,
     StreamBrokenError,
     type StreamEvent,
 } from "../ports/forwardingPorts.js";
-import { type MemoryPort, type MemoryShare, ReservationAnswer } from "../ports/memoryPort.js";
+import { type MemoryPort, type MemoryReservation, ReservationResult } from "../ports/memoryPort.js";
 import { EngineFullError, HelperLostError, PassEngine } from "../standins/passEngineModel.js";
 import { type EndpointRecord, EndpointState, type EngineProfile } from "../types/routing.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
@@ -69,17 +69,17 @@
         this.eventsOf.set(id, events);
     }
 
-    async send(order: EndpointOrder, signal: AbortSignal): Promise<EndpointOutcome> {
+    async send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
         const endpoint = this.at(order.endpoint.address);
         const { record, engine, silent } = endpoint;
         if (silent) {
             await this.clock.sleep(order.connectWithin, signal);
-            return { type: "Unreached", reason: "no connection in time", nobodyListens: false };
+            return { type: "Unreached", reason: "no connection in time", connectionRefused: false };
         }
         await this.travel();
         if (engine.isDead) {
             await this.travel();
-            return { type: "Unreached", reason: "nobody listens", nobodyListens: true };
+            return { type: "Unreached", reason: "nobody listens", connectionRefused: true };
         }
         if (signal.aborted) {
             return { type: "Broken", reason: "cancelled" };
@@ -89,25 +89,28 @@
         return await run.begin(emit => this.run(order, engine, emit, signal));
     }
 
-    async reserve({ reservation, endpoint, tokens }: MemoryShare, hold: Milliseconds): Promise<ReservationAnswer> {
+    async reserve(
+        { reservation, endpoint, tokens }: MemoryReservation,
+        hold: Milliseconds,
+    ): Promise<ReservationResult> {
         const { engine, silent } = this.at(endpoint.address);
         await this.travel();
         if (silent || engine.isDead) {
-            return ReservationAnswer.Unknown;
+            return ReservationResult.Unknown;
         }
         const held = engine.reserve(reservation, tokens, hold, false);
         await this.travel();
-        return held ? ReservationAnswer.Held : ReservationAnswer.Refused;
+        return held ? ReservationResult.Held : ReservationResult.Refused;
     }
 
-    async release({ reservation, endpoint }: MemoryShare): Promise<boolean> {
+    async release({ reservation, endpoint }: MemoryReservation): Promise<boolean> {
         await this.travel();
         this.at(endpoint.address).engine.release(reservation);
         return true;
     }
 
     private run(
-        { request, priority, resumeAfter, helpers }: EndpointOrder,
+        { request, priority, resumeAfter, helpers }: EndpointAttempt,
         engine: PassEngine,
         emit: (event: number) => void,
         signal: AbortSignal,
@@ -149,7 +152,7 @@
     private ended = false;
     private error: Error | undefined;
     private wake: () => void = () => {};
-    private answer: (outcome: EndpointOutcome) => void = () => {};
+    private answer: (outcome: AttemptOutcome) => void = () => {};
 
     constructor(
         private readonly clock: Clock,
@@ -162,7 +165,7 @@
     }
 
     /** Starts `run`, and resolves with the head of the answer or with what became of it before. */
-    begin(run: (emit: (event: number) => void) => Promise<void>): Promise<EndpointOutcome> {
+    begin(run: (emit: (event: number) => void) => Promise<void>): Promise<AttemptOutcome> {
         return new Promise(resolve => {
             this.answer = resolve;
             const started = async () => await run(event => this.later(() => this.take(event)));
--- a/src/standins/engineModel.ts
+++ b/src/standins/engineModel.ts
@@ -14,7 +14,7 @@
     Milliseconds,
     Random,
     randomIdentifier,
-    sharedAbort,
+    sharedAbortController,
 } from "../internal.js";
 import { answerLength, answerSeed, answerToken, isCrashing } from "./answer.js";
 
@@ -114,7 +114,7 @@
     private fence = 0;
     private stepping = false;
     /** Aborts when the process dies: every connection of it is cut. */
-    private life = sharedAbort();
+    private life = sharedAbortController();
 
     constructor(
         readonly shape: EngineShape,
@@ -317,7 +317,7 @@
         this.reservations = new Map();
         this.exported = new Map();
         this.life.abort();
-        this.life = sharedAbort();
+        this.life = sharedAbortController();
     }
 
     /** Starts again, cold and empty. */
--- a/src/standins/serviceModel.ts
+++ b/src/standins/serviceModel.ts
@@ -6,9 +6,9 @@
     Milliseconds,
     Random,
     randomIdentifier,
-    ServiceAnswer,
     ServiceRequest,
-    sharedAbort,
+    ServiceResponse,
+    sharedAbortController,
 } from "../internal.js";
 
 /** Speed of a plain service. */
@@ -26,7 +26,7 @@
     /** Time from the run itself to its answer: faults fall into it. */
     answerDelayMilliseconds = 0;
     private running = 0;
-    private life = sharedAbort();
+    private life = sharedAbortController();
     private up = true;
 
     constructor(
@@ -61,7 +61,7 @@
     }
 
     /** Runs a call: once for each time it is called. */
-    async call(request: ServiceRequest): Promise<ServiceAnswer> {
+    async call(request: ServiceRequest): Promise<ServiceResponse> {
         this.running++;
         const key = request.idempotencyKey ?? request.requestId;
         const runs = (this.runs.get(key) ?? 0) + (request.method === "GET" ? 0 : 1);
@@ -77,7 +77,7 @@
         this.up = false;
         this.running = 0;
         this.life.abort();
-        this.life = sharedAbort();
+        this.life = sharedAbortController();
     }
 
     revive(): void {
--- a/src/utils/bounds.ts
+++ b/src/utils/bounds.ts
@@ -2,7 +2,7 @@
 import { setMaxListeners } from "node:events";
 import { Clock, Milliseconds } from "./clock.js";
 import { TimeLimitError } from "./errors.js";
-import { cancel } from "./signal.js";
+import { abortQuietly } from "./signal.js";
 
 /**
  * Runs `work` for at most `limit` milliseconds.
@@ -10,7 +10,7 @@
  * Throws {@link TimeLimitError} when the limit passes first; `work` then sees its signal aborted and its late
  * outcome is dropped. An abort of `parent` reaches `work` too.
  */
-export const within = async <Result>(
+export const withTimeout = async <Result>(
     clock: Clock,
     limit: Milliseconds,
     subject: string,
@@ -18,7 +18,7 @@
     parent?: AbortSignal,
 ): Promise<Result> => {
     const controller = new AbortController();
-    const forward = () => cancel(controller);
+    const forward = () => abortQuietly(controller);
     parent?.addEventListener("abort", forward, { once: true });
     if (parent?.aborted) {
         forward();
@@ -39,15 +39,15 @@
     }
 };
 
-/** As {@link within}, but a limit that passes is an outcome of its own: undefined. */
-export const withinOrUndefined = async <Result>(
+/** As {@link withTimeout}, but a limit that passes is an outcome of its own: undefined. */
+export const withTimeoutOrUndefined = async <Result>(
     clock: Clock,
     limit: Milliseconds,
     subject: string,
     work: () => Promise<Result>,
 ): Promise<Result | undefined> => {
     try {
-        return await within(clock, limit, subject, work);
+        return await withTimeout(clock, limit, subject, work);
     }
     catch (error) {
         if (error instanceof TimeLimitError) {
@@ -58,7 +58,7 @@
 };
 
 /** An abort controller that many tasks may listen to; Node would warn of a leak from the eleventh on. */
-export const sharedAbort = (): AbortController => {
+export const sharedAbortController = (): AbortController => {
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     return controller;
--- a/src/utils/httpClient.ts
+++ b/src/utils/httpClient.ts
@@ -21,7 +21,7 @@
 }
 
 /** The head of an answer, with its body still to be read. */
-export interface IncomingAnswer {
+export interface IncomingResponse {
     status: number;
     headers: http.IncomingHttpHeaders;
     body: http.IncomingMessage;
@@ -39,7 +39,7 @@
  *
  * Throws {@link ExchangeError}; its `written` is false only when the connection was never made.
  */
-export const exchange = (request: OutgoingRequest): Promise<IncomingAnswer> =>
+export const sendRequest = (request: OutgoingRequest): Promise<IncomingResponse> =>
     new Promise((resolve, reject) => {
         let written = false;
         const outgoing = http.request({
@@ -86,7 +86,7 @@
 };
 
 /** An answer with its JSON body. */
-export interface JsonAnswer {
+export interface JsonResponse {
     status: number;
     headers: http.IncomingHttpHeaders;
     value: unknown;
@@ -107,11 +107,11 @@
 };
 
 /** Sends `value` as JSON and reads a JSON answer. Throws {@link ExchangeError}. */
-export const exchangeJson = async (
+export const requestJson = async (
     request: Omit<OutgoingRequest, "body">,
     value?: unknown,
-): Promise<JsonAnswer> => {
-    const answer = await exchange({
+): Promise<JsonResponse> => {
+    const answer = await sendRequest({
         ...request,
         headers: { ...request.headers, ...(value === undefined ? {} : { "content-type": "application/json" }) },
         body: value === undefined ? undefined : JSON.stringify(value),
--- a/src/utils/keyedWindows.ts
+++ b/src/utils/keyedWindows.ts
@@ -23,7 +23,7 @@
     }
 
     /** Time until the oldest event of `key` leaves its window; zero where there is none. */
-    freesIn(key: string): Milliseconds {
-        return this.windows.get(key)?.freesIn() ?? 0;
+    timeUntilExpiry(key: string): Milliseconds {
+        return this.windows.get(key)?.timeUntilExpiry() ?? 0;
     }
 }
--- a/src/utils/signal.ts
+++ b/src/utils/signal.ts
@@ -31,14 +31,14 @@
     }
 }
 
-/** The reason of {@link cancel}. */
+/** The reason of {@link abortQuietly}. */
 const cancelled = "cancelled";
 
 /**
  * Aborts. Without a reason of its own Node makes an error with its stack for each abort, which costs more than all else on
  * the path of a request.
  */
-export const cancel = (controller: AbortController): void => controller.abort(cancelled);
+export const abortQuietly = (controller: AbortController): void => controller.abort(cancelled);
 
 /** Resolves at the next `notify` of any of `changes`, or when `signal` aborts. */
 export const nextOfAny = async (changes: readonly ChangeSignal[], signal: AbortSignal): Promise<void> => {
--- a/src/utils/slidingWindow.ts
+++ b/src/utils/slidingWindow.ts
@@ -19,7 +19,7 @@
     }
 
     /** Time until the oldest event leaves the window; zero where there is none. */
-    freesIn(): Milliseconds {
+    timeUntilExpiry(): Milliseconds {
         this.forget();
         const oldest = this.times[this.first];
         return oldest === undefined ? 0 : oldest + this.span - this.clock.now();
