--- a/src/adapters/forwarding/callerPort.ts
+++ b/src/adapters/forwarding/callerPort.ts
@@ -1,4 +1,4 @@
-/** The port for forwarded requests: reads callers' requests and writes their answers over Node's `http`. */
+/** HTTP server for forwarded requests. Reads the requests of callers and writes their responses through Node's `http`. */
 import http from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 import { match } from "ts-pattern";
@@ -13,53 +13,56 @@
 import type { PartLog } from "../../utils/log.js";
 import { abortQuietly } from "../../utils/signal.js";
 import { problemOf } from "../callers/problem.js";
-import type { ForwardingWire } from "./wireNames.js";
+import type { ForwardingWire } from "./forwardingWire.js";
 
-/** Headers beyond this are refused while they are read; the configured limit holds below it. */
-const headerBytesAtMost = 128 * 1024;
-/** How often Node looks for callers that are slow to send their headers. */
-const slownessCheck: Milliseconds = 1_000;
-/** Before a configuration is known. */
+/** Node rejects larger headers while reading them; the configured limit is lower. */
+const maximumHeaderBytes = 128 * 1024;
+/** How often Node checks for callers that exceed the header timeout. */
+const headerTimeoutCheckInterval: Milliseconds = 1_000;
+/** Timeouts until a configuration is in force. */
 const defaultHeaderTimeout: Milliseconds = 5_000;
 const defaultIdleTimeout: Milliseconds = 15_000;
-/** A connection is kept this much longer than promised, for requests that are on their way when the time is up. */
-const idleMargin: Milliseconds = 1_000;
-const requestLineBytes = 16;
+/** Idle connections stay open this much longer than the configured timeout, for requests in flight when it expires. */
+const keepAliveMargin: Milliseconds = 1_000;
+const requestLineOverheadBytes = 16;
 
-/** What the port needs. */
-export interface CallerPortParts {
+/** Dependencies of {@link CallerPort}. */
+export interface CallerPortDependencies {
     wire: ForwardingWire;
     clock: Clock;
     log: PartLog;
     serve: (exchange: CallerExchange) => Promise<void>;
-    /** The limits in force; undefined before a configuration is known. */
+    /** The route table in force, with its limits; undefined until a configuration is known. */
     routes: () => RouteTable | undefined;
-    /** Whether this entry is stopping, so that callers should leave. */
-    stopping: () => boolean;
+    /** Whether this entry is stopping, so that callers should close their connections. */
+    isStopping: () => boolean;
 }
 
-/** Listens for callers. */
+/** Accepts the connections of callers. */
 export class CallerPort {
     private readonly server: http.Server;
     private readonly sockets = new Set<Socket>();
 
-    constructor(private readonly parts: CallerPortParts) {
+    constructor(private readonly dependencies: CallerPortDependencies) {
         this.server = http.createServer({
-            maxHeaderSize: headerBytesAtMost,
-            connectionsCheckingInterval: slownessCheck,
+            maxHeaderSize: maximumHeaderBytes,
+            connectionsCheckingInterval: headerTimeoutCheckInterval,
             headersTimeout: defaultHeaderTimeout,
-            // A request's whole time is bounded by its route, not by a fixed time here.
+            // The route bounds the total time of a request, not a fixed timeout here.
             requestTimeout: 0,
             keepAliveTimeout: defaultIdleTimeout,
-        }, (request, response) => this.receive(request, response));
-        this.server.on("clientError", (error, socket) => refuseUnread(error, socket as Socket, parts.log));
+        }, (request, response) => this.handleRequest(request, response));
+        this.server.on(
+            "clientError",
+            (error, socket) => rejectUnparsedRequest(error, socket as Socket, dependencies.log),
+        );
         this.server.on("connection", socket => {
             this.sockets.add(socket);
             socket.once("close", () => this.sockets.delete(socket));
         });
     }
 
-    /** Listens on `host:port`; resolves with the real address. Rejects when it can't be had. */
+    /** Listens on `host:port` and resolves with the actual address. Rejects when the address is unavailable. */
     listen(address: string): Promise<string> {
         const { host, port } = splitAddress(address);
         return new Promise((resolve, reject) => {
@@ -71,24 +74,24 @@
         });
     }
 
-    /** Takes the limits of a new configuration. */
-    limit(routes: RouteTable): void {
+    /** Applies the timeouts of a new configuration. */
+    applyLimits(routes: RouteTable): void {
         const { headerTimeout, idleTimeout } = routes.configuration.limits;
         this.server.headersTimeout = headerTimeout;
-        this.server.keepAliveTimeout = idleTimeout + idleMargin;
+        this.server.keepAliveTimeout = idleTimeout + keepAliveMargin;
     }
 
-    /** Connections that are open. */
-    get connections(): number {
+    /** Number of open connections. */
+    get connectionCount(): number {
         return this.sockets.size;
     }
 
-    /** Closes connections on which no request is in progress. */
-    closeIdle(): void {
+    /** Closes connections without a request in progress. */
+    closeIdleConnections(): void {
         this.server.closeIdleConnections();
     }
 
-    /** Stops listening and cuts all that is left. */
+    /** Stops listening and closes all connections, including those with requests in progress. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
@@ -96,70 +99,73 @@
         });
     }
 
-    private receive(request: http.IncomingMessage, response: http.ServerResponse): void {
-        const exchange = this.open(request, response);
+    private handleRequest(request: http.IncomingMessage, response: http.ServerResponse): void {
+        const exchange = this.openExchange(request, response);
         if (exchange) {
-            void this.parts.serve(exchange);
+            void this.dependencies.serve(exchange);
         }
     }
 
-    /** Checks the head of a request; answers it at once when it can't be read. */
-    private open(request: http.IncomingMessage, response: http.ServerResponse): HttpExchange | undefined {
-        const { wire, clock } = this.parts;
-        const { id, ...facts } = wire.readCaller(request.rawHeaders);
+    /** Creates the exchange of a request, or rejects the request at once when its head is invalid. */
+    private openExchange(request: http.IncomingMessage, response: http.ServerResponse): HttpExchange | undefined {
+        const { wire, clock } = this.dependencies;
+        const { id, ...facts } = wire.readRequest(request.rawHeaders);
         const head = { ...facts, method: request.method ?? "", target: request.url ?? "", arrivedAt: clock.now() };
-        const exchange = new HttpExchange(this.parts, { ...head, id: id ?? "" }, request, response);
-        const limit = this.parts.routes()?.configuration.limits.headerBytes ?? headerBytesAtMost;
-        if (headerBytes(request.rawHeaders) + head.target.length + requestLineBytes > limit) {
-            const detail = `the headers are over ${limit} bytes`;
-            exchange.refuse(new RequestFailure(FailureKind.HeadersTooLarge, Execution.NotRun, detail));
+        const exchange = new HttpExchange(this.dependencies, { ...head, id: id ?? "" }, request, response);
+        const limit = this.dependencies.routes()?.configuration.limits.headerBytes ?? maximumHeaderBytes;
+        if (headerBytes(request.rawHeaders) + head.target.length + requestLineOverheadBytes > limit) {
+            const detail = `the request line and headers exceed ${limit} bytes`;
+            exchange.reject(new RequestFailure(FailureKind.HeadersTooLarge, Execution.NotRun, detail));
             return undefined;
         }
         if (id === undefined) {
-            const detail = "the request bears no identifier, or more than one";
-            exchange.refuse(new RequestFailure(FailureKind.BadRequest, Execution.NotRun, detail));
+            const detail = "expected exactly one request identifier header";
+            exchange.reject(new RequestFailure(FailureKind.BadRequest, Execution.NotRun, detail));
             return undefined;
         }
         return exchange;
     }
 }
 
-/** One request on its connection. */
+/** One request and its response. */
 class HttpExchange implements CallerExchange {
-    private readonly leaving = new AbortController();
+    private readonly disconnectController = new AbortController();
 
     constructor(
-        private readonly parts: CallerPortParts,
+        private readonly dependencies: CallerPortDependencies,
         readonly head: RequestHead,
         private readonly request: http.IncomingMessage,
         private readonly response: http.ServerResponse,
     ) {
         response.once("close", () => {
             if (!response.writableFinished) {
-                abortQuietly(this.leaving);
+                abortQuietly(this.disconnectController);
             }
         });
-        request.once("error", () => abortQuietly(this.leaving));
+        request.once("error", () => abortQuietly(this.disconnectController));
         response.on("error", error => {
-            this.parts.log.info("A caller's connection failed.", { requestId: head.id, error: describeError(error) });
-            abortQuietly(this.leaving);
+            this.dependencies.log.info("A caller's connection failed.", {
+                requestId: head.id,
+                error: describeError(error),
+            });
+            abortQuietly(this.disconnectController);
         });
     }
 
     get disconnected(): AbortSignal {
-        return this.leaving.signal;
+        return this.disconnectController.signal;
     }
 
     async readBody(limitBytes: number): Promise<Buffer> {
         if (Number(this.request.headers["content-length"] ?? 0) > limitBytes) {
-            throw bodyFailure(new BodyTooLargeError(limitBytes));
+            throw toBodyFailure(new BodyTooLargeError(limitBytes));
         }
         try {
-            const time = { limit: this.bodyTimeout(), clock: this.parts.clock };
+            const time = { limit: this.bodyTimeout(), clock: this.dependencies.clock };
             return await collectBody(this.request, { bytes: limitBytes, time });
         }
         catch (error) {
-            throw bodyFailure(error);
+            throw toBodyFailure(error);
         }
     }
 
@@ -177,10 +183,10 @@
             return Promise.resolve();
         }
         return new Promise((resolve, reject) => {
-            const leave = () => reject(new CallerLeftError());
-            this.disconnected.addEventListener("abort", leave, { once: true });
+            const onDisconnect = () => reject(new CallerDisconnectedError());
+            this.disconnected.addEventListener("abort", onDisconnect, { once: true });
             this.response.once("drain", () => {
-                this.disconnected.removeEventListener("abort", leave);
+                this.disconnected.removeEventListener("abort", onDisconnect);
                 resolve();
             });
         });
@@ -207,47 +213,47 @@
             String(Buffer.byteLength(text)),
         ];
         if (this.head.id !== "") {
-            headers.push(this.parts.wire.requestIdHeader, this.head.id);
+            headers.push(this.dependencies.wire.requestIdHeader, this.head.id);
         }
         if (failure.retryAfterSeconds !== undefined) {
             headers.push("Retry-After", String(failure.retryAfterSeconds));
         }
         if (!this.request.complete) {
-            // The rest of the body would have to be read to find the next request.
+            // Reusing the connection would require reading the rest of the body first.
             headers.push("Connection", "close");
         }
         this.writeHead({ status: problemOf(failure, this.head.id).status, headers });
         this.response.end(text);
     }
 
-    /** Refuses a request whose head can't be used. */
-    refuse(failure: RequestFailure): void {
-        this.parts.log.warn("A request was refused.", { requestId: this.head.id, reason: failure.message });
+    /** Rejects a request whose head is invalid. */
+    reject(failure: RequestFailure): void {
+        this.dependencies.log.warn("A request was rejected.", { requestId: this.head.id, reason: failure.message });
         this.fail(failure);
     }
 
     private writeHead({ status, headers }: ResponseHead): void {
         const all = [...headers];
-        if (this.parts.stopping()) {
+        if (this.dependencies.isStopping()) {
             all.push("Connection", "close");
         }
         this.response.writeHead(status, all);
     }
 
     private bodyTimeout(): Milliseconds {
-        return this.parts.routes()?.configuration.limits.idleTimeout ?? defaultIdleTimeout;
+        return this.dependencies.routes()?.configuration.limits.idleTimeout ?? defaultIdleTimeout;
     }
 }
 
-/** The caller closed its connection while its answer was on the way. */
-class CallerLeftError extends DandelionrampError {
+/** The caller closed its connection while its response was being sent. */
+class CallerDisconnectedError extends DandelionrampError {
     constructor() {
         super("the caller has left");
     }
 }
 
-/** What a caller is told of a body that can't be used. Nothing of it was passed on. */
-const bodyFailure = (error: unknown): RequestFailure => {
+/** Converts an error in reading a body to a failure. No part of the request was forwarded, so it has not run. */
+const toBodyFailure = (error: unknown): RequestFailure => {
     if (error instanceof BodyTooLargeError) {
         return new RequestFailure(FailureKind.BodyTooLarge, Execution.NotRun, error.message);
     }
@@ -255,14 +261,14 @@
     return new RequestFailure(kind, Execution.NotRun, describeError(error));
 };
 
-/** Answers bytes that are no request. Nothing of them was passed on. */
-const refuseUnread = (error: Error & { code?: string; }, socket: Socket, log: PartLog): void => {
+/** Responds to bytes that Node could not parse as a request. Nothing of them was forwarded. */
+const rejectUnparsedRequest = (error: Error & { code?: string; }, socket: Socket, log: PartLog): void => {
     if (error.code === "ECONNRESET" || !socket.writable) {
         socket.destroy();
         return;
     }
-    const kind = kindOfUnread(error.code);
-    log.warn("A request can't be read.", { code: error.code, reason: error.message });
+    const kind = failureKindOfParseError(error.code);
+    log.warn("A request can't be parsed.", { code: error.code, reason: error.message });
     const problem = problemOf(new RequestFailure(kind, Execution.NotRun, error.message), "");
     const text = JSON.stringify(problem);
     socket.end(
@@ -271,7 +277,7 @@
     );
 };
 
-const kindOfUnread = (code: string | undefined): FailureKind =>
+const failureKindOfParseError = (code: string | undefined): FailureKind =>
     match(code)
         .with("HPE_HEADER_OVERFLOW", () => FailureKind.HeadersTooLarge)
         .with("ERR_HTTP_REQUEST_TIMEOUT", () => FailureKind.RequestTooSlow)
--- a/src/adapters/forwarding/endpointClient.ts
+++ b/src/adapters/forwarding/endpointClient.ts
@@ -1,4 +1,4 @@
-/** Sends orders to endpoints over HTTP, and says plainly what became of each. */
+/** Sends attempts to endpoints over HTTP and classifies the outcome of each. */
 import http from "node:http";
 import {
     type AttemptOutcome,
@@ -14,42 +14,44 @@
 import { describeError } from "../../utils/errors.js";
 import { EndpointAgent } from "./endpointAgent.js";
 import { EventStream } from "./eventStream.js";
-import type { AnswerFacts, ForwardingWire } from "./wireNames.js";
+import type { ForwardingWire, ResponseFacts } from "./forwardingWire.js";
 
-const misdirected = 421;
-/** An answer that is kept whole in memory; a larger one is no plain answer. */
-const answerBytesAtMost = 16 * 1024 * 1024;
-/** Statuses that promise "not run"; they may be passed on only with the endpoint's own word for it. */
-const promisingStatuses = new Set([408, 429, 503]);
+const misdirectedRequestStatus = 421;
+/** Limit for a response that is buffered in memory. Responses that are not streamed are far smaller. */
+const maximumResponseBytes = 16 * 1024 * 1024;
+/** Statuses that tell callers that the request has not run. They are passed on only when the endpoint guarantees it. */
+const notRunStatuses = new Set([408, 429, 503]);
 
 const isSuccess = (status: number): boolean => status >= 200 && status < 300;
 
-/** The endpoints of a deployment. */
+/** HTTP client for the endpoints of a deployment. */
 export class EndpointClient implements EndpointPort {
     private readonly agent = new EndpointAgent();
 
     constructor(private readonly wire: ForwardingWire, private readonly clock: Clock) {}
 
-    send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
-        return new Promise(resolve => new Exchange(this.wire, this.clock, order, signal, resolve).start(this.agent));
+    send(attempt: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
+        return new Promise(resolve =>
+            new EndpointExchange(this.wire, this.clock, attempt, signal, resolve).start(this.agent)
+        );
     }
 }
 
-/** One order on one connection. */
-class Exchange {
-    private settled = false;
-    /** Forgets the signal: a cancel after the end would hit the connection's next request. */
-    private release: () => void = () => {};
-    private connected = false;
-    /** The head of an answer came; what follows is judged with its body. */
-    private answered = false;
-    private lost: string | undefined;
-    private nobodyListens = false;
+/** One attempt on one connection. */
+class EndpointExchange {
+    private isSettled = false;
+    /** Stops listening to the signal: an abort after the end would hit the next request on the connection. */
+    private removeAbortListener: () => void = () => {};
+    private isConnected = false;
+    /** Whether a response head has arrived; the outcome then depends on the response. */
+    private hasResponse = false;
+    private connectionError: string | undefined;
+    private connectionRefused = false;
 
     constructor(
         private readonly wire: ForwardingWire,
         private readonly clock: Clock,
-        private readonly order: EndpointAttempt,
+        private readonly attempt: EndpointAttempt,
         private readonly signal: AbortSignal,
         private readonly resolve: (outcome: AttemptOutcome) => void,
     ) {}
@@ -59,20 +61,20 @@
             this.settle({ type: "Unreached", reason: "cancelled", connectionRefused: false });
             return;
         }
-        const request = this.open(agent);
-        const end = () => request.destroy(new Error("cancelled"));
-        this.signal.addEventListener("abort", end, { once: true });
-        this.release = () => this.signal.removeEventListener("abort", end);
-        const stopTimer = this.clock.after(this.order.connectWithin, () => {
-            // An entry that was held up itself may find the timer due before it looks at a connection that is there.
+        const request = this.createRequest(agent);
+        const onAbort = () => request.destroy(new Error("cancelled"));
+        this.signal.addEventListener("abort", onAbort, { once: true });
+        this.removeAbortListener = () => this.signal.removeEventListener("abort", onAbort);
+        const stopTimer = this.clock.after(this.attempt.connectTimeout, () => {
+            // After a delay of this process itself, the timer may run before an established connection is noticed.
             setImmediate(() => {
-                if (!this.connected) {
-                    request.destroy(new Error("no connection in time"));
+                if (!this.isConnected) {
+                    request.destroy(new Error("the connection timed out"));
                 }
             });
         });
         const onConnected = () => {
-            this.connected = true;
+            this.isConnected = true;
             stopTimer();
         };
         request.on("socket", socket => {
@@ -83,102 +85,111 @@
             onConnected();
         });
         request.on("response", response => {
-            this.answered = true;
-            void this.receive(request, response);
+            this.hasResponse = true;
+            void this.handleResponse(request, response);
         });
         request.on("error", (error: NodeJS.ErrnoException) => {
-            this.lost = describeError(error);
-            this.nobodyListens = error.code === "ECONNREFUSED";
-            this.settleUnanswered();
+            this.connectionError = describeError(error);
+            this.connectionRefused = error.code === "ECONNREFUSED";
+            this.settleWithoutResponse();
         });
         request.on("close", () => {
             stopTimer();
-            this.release();
-            this.settleUnanswered();
+            this.removeAbortListener();
+            this.settleWithoutResponse();
         });
-        request.end(this.order.request.body);
+        request.end(this.attempt.request.body);
     }
 
-    private open(agent: http.Agent): http.ClientRequest {
-        const { request, endpoint, mayReuseConnection } = this.order;
+    private createRequest(agent: http.Agent): http.ClientRequest {
+        const { request, endpoint, mayReuseConnection } = this.attempt;
         return http.request({
             ...splitAddress(endpoint.address),
             method: request.method,
             path: request.target,
-            headers: this.wire.orderHeaders(this.order),
-            // A kept connection may be closing while the request is on its way, and then nobody knows whether it ran.
+            headers: this.wire.attemptHeaders(this.attempt),
+            // An idle connection may be closing while the request is in flight, and then it is unknown whether the request ran.
             agent: mayReuseConnection ? agent : false,
         });
     }
 
-    private settleUnanswered(): void {
-        if (!this.answered) {
-            const reason = this.lost ?? "the connection closed";
-            const { nobodyListens } = this;
+    private settleWithoutResponse(): void {
+        if (!this.hasResponse) {
+            const reason = this.connectionError ?? "the connection closed before a response";
+            const { connectionRefused } = this;
             this.settle(
-                this.connected
+                this.isConnected
                     ? { type: "Broken", reason }
-                    : { type: "Unreached", reason, connectionRefused: nobodyListens },
+                    : { type: "Unreached", reason, connectionRefused },
             );
         }
     }
 
     private settle(outcome: AttemptOutcome): void {
-        if (!this.settled) {
-            this.settled = true;
+        if (!this.isSettled) {
+            this.isSettled = true;
             this.resolve(outcome);
         }
     }
 
-    private async receive(request: http.ClientRequest, response: http.IncomingMessage): Promise<void> {
+    private async handleResponse(request: http.ClientRequest, response: http.IncomingMessage): Promise<void> {
         const status = response.statusCode ?? 0;
-        const facts = this.wire.readAnswer(response.rawHeaders);
+        const facts = this.wire.readResponse(response.rawHeaders);
         response.on("error", error => {
-            this.lost ??= describeError(error);
+            this.connectionError ??= describeError(error);
         });
         this.watchForReset(response);
-        if (!this.answersThis(facts, request)) {
+        if (!this.isResponseToAttempt(facts, request)) {
             request.destroy();
-            this.settle({ type: "Broken", reason: `an answer to ${facts.requestId ?? "no request"} came` });
+            this.settle({
+                type: "Broken",
+                reason: `expected a response to this request, but received one to ${facts.requestId ?? "no request"}`,
+            });
             return;
         }
-        if (facts.notRun || status === misdirected) {
+        if (facts.guaranteesNotRun || status === misdirectedRequestStatus) {
             response.resume();
             this.settle({
                 type: "Refused",
-                reason: status === misdirected ? RefusalReason.WrongEndpoint : RefusalReason.Busy,
+                reason: status === misdirectedRequestStatus ? RefusalReason.WrongEndpoint : RefusalReason.Busy,
                 coldFor: facts.coldFor,
                 limitPerSecond: facts.limitPerSecond,
                 atFault: facts.atFault,
             });
             return;
         }
-        if (isSuccess(status) && (!facts.signed || facts.encoded)) {
+        if (isSuccess(status) && (!facts.isSigned || facts.isEncoded)) {
             request.destroy();
-            this.settle({ type: "Broken", reason: "the answer isn't the endpoint's own" });
+            this.settle({
+                type: "Broken",
+                reason: "the response is not signed by the endpoint, or its encoding was changed",
+            });
             return;
         }
         const { limitPerSecond } = facts;
         const head = { status, headers: facts.headers };
-        if (this.order.streaming && isSuccess(status)) {
-            const events = new EventStream(response, () => this.checkWhole(response), this.release);
+        if (this.attempt.isStreaming && isSuccess(status)) {
+            const events = new EventStream(response, () => this.throwIfIncomplete(response), this.removeAbortListener);
             this.settle({ type: "Streaming", head, events, limitPerSecond });
             return;
         }
-        await this.receiveWhole(request, response, head, limitPerSecond);
+        await this.receiveBody(request, response, head, limitPerSecond);
     }
 
-    private async receiveWhole(
+    private async receiveBody(
         request: http.ClientRequest,
         response: http.IncomingMessage,
         head: ResponseHead,
         limitPerSecond: number | undefined,
     ): Promise<void> {
         try {
-            const body = await this.readWhole(response);
-            this.release();
-            if (promisingStatuses.has(head.status)) {
-                this.settle({ type: "Broken", reason: `status ${head.status} without the word that nothing ran` });
+            const body = await this.readBody(response);
+            this.removeAbortListener();
+            if (notRunStatuses.has(head.status)) {
+                this.settle({
+                    type: "Broken",
+                    reason: `status ${head.status} without the guarantee that the request has not run`,
+                });
                 return;
             }
             this.settle({ type: "Answered", head, body, limitPerSecond });
@@ -190,9 +201,10 @@
     }
 
     /**
-     * A body without a length ends with its connection. A reset that arrives together with the last bytes reaches Node as
-     * an ordinary end, and a body that lost its rest would look whole. After a reset the system knows no peer any more,
-     * after an ordinary end it does; this is asked before Node closes the socket.
+     * Detects a connection reset at the end of a body without a length. Such a body ends with its connection, and Node reports
+     * a reset that arrives together with the last bytes as an ordinary end, so a truncated body would look complete. After a
+     * reset the socket has no remote address any more; after an ordinary end it has. The address is read before Node closes the
+     * socket.
      */
     private watchForReset(response: http.IncomingMessage): void {
         const { headers, socket } = response;
@@ -201,30 +213,33 @@
         }
         socket.prependOnceListener("end", () => {
             if (socket.remoteAddress === undefined) {
-                this.lost ??= "the connection was reset";
+                this.connectionError ??= "the connection was reset";
             }
         });
     }
 
     /**
-     * An answer belongs to this request when it bears its identifier. On a new connection nothing older can arrive, and a
-     * refusal there may come without one.
+     * Whether the response belongs to this attempt, which its request identifier shows. A refusal on a new connection may lack
+     * the identifier, since no earlier response can arrive there.
      */
-    private answersThis(facts: AnswerFacts, request: http.ClientRequest): boolean {
-        return facts.requestId === this.order.request.id
-            || (facts.requestId === undefined && facts.notRun && !request.reusedSocket);
+    private isResponseToAttempt(facts: ResponseFacts, request: http.ClientRequest): boolean {
+        return facts.requestId === this.attempt.request.id
+            || (facts.requestId === undefined && facts.guaranteesNotRun && !request.reusedSocket);
     }
 
-    private async readWhole(response: http.IncomingMessage): Promise<Buffer> {
-        const body = await collectBody(response, { bytes: answerBytesAtMost });
-        this.checkWhole(response);
+    private async readBody(response: http.IncomingMessage): Promise<Buffer> {
+        const body = await collectBody(response, { bytes: maximumResponseBytes });
+        this.throwIfIncomplete(response);
         return body;
     }
 
-    /** Node calls a body without a length complete after a reset too; the error tells the two apart. */
-    private checkWhole(response: http.IncomingMessage): void {
-        if (!response.complete || this.lost !== undefined) {
-            throw new StreamBrokenError(`the answer was cut: ${this.lost ?? "its connection closed"}`);
+    /**
+     * Throws when the response was cut. Node marks a body without a length as complete even after a reset; the recorded error
+     * distinguishes the two.
+     */
+    private throwIfIncomplete(response: http.IncomingMessage): void {
+        if (!response.complete || this.connectionError !== undefined) {
+            throw new StreamBrokenError(`the response was cut: ${this.connectionError ?? "its connection closed"}`);
         }
     }
 }
--- a/src/adapters/forwarding/eventReader.ts
+++ b/src/adapters/forwarding/eventReader.ts
@@ -1,58 +1,60 @@
-/** Splits the bytes of an event stream into whole events, unchanged. */
+/** Splits the bytes of an event stream into complete events without changing them. */
 import type { StreamEvent } from "../../ports/forwardingPorts.js";
 import { DandelionrampError } from "../../utils/errors.js";
 
 const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
-/** An event larger than this is none of a model's; holding more could exhaust memory. */
-const eventBytesAtMost = 1024 * 1024;
+/** Models send far smaller events; buffering more could exhaust memory. */
+const maximumEventBytes = 1024 * 1024;
 
-/** A stream whose events grow beyond any bound. */
+/** An event of a stream exceeds the size limit. */
 export class EventTooLargeError extends DandelionrampError {}
 
-/** Collects bytes until events are whole. */
+/** Buffers bytes until events are complete. */
 export class EventReader {
-    private pending: Buffer = Buffer.alloc(0);
-    private searched = 0;
+    private pendingBytes: Buffer = Buffer.alloc(0);
+    private searchedLength = 0;
 
-    /** Takes bytes and returns the events that they complete. */
+    /** Adds bytes and returns the events that they complete. */
     push(bytes: Buffer): StreamEvent[] {
-        this.pending = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
+        this.pendingBytes = this.pendingBytes.length === 0 ? bytes : Buffer.concat([this.pendingBytes, bytes]);
         const events: StreamEvent[] = [];
         let start = 0;
-        for (let end = this.boundary(start); end >= 0; end = this.boundary(start)) {
-            const event = this.pending.subarray(start, end);
-            events.push({ id: eventIdentifier(event), bytes: event });
+        for (let end = this.findEventEnd(start); end >= 0; end = this.findEventEnd(start)) {
+            const event = this.pendingBytes.subarray(start, end);
+            events.push({ id: parseEventId(event), bytes: event });
             start = end;
-            this.searched = end;
+            this.searchedLength = end;
         }
-        this.pending = this.pending.subarray(start);
-        this.searched = Math.max(0, this.pending.length - 3);
-        if (this.pending.length > eventBytesAtMost) {
-            throw new EventTooLargeError(`an event is over ${eventBytesAtMost} bytes`);
+        this.pendingBytes = this.pendingBytes.subarray(start);
+        this.searchedLength = Math.max(0, this.pendingBytes.length - 3);
+        if (this.pendingBytes.length > maximumEventBytes) {
+            throw new EventTooLargeError(`an event exceeds ${maximumEventBytes} bytes`);
         }
         return events;
     }
 
-    /** Whether the bytes end with a whole event. */
-    get whole(): boolean {
-        return this.pending.length === 0;
+    /** Whether all bytes so far form complete events. */
+    get isAtEventBoundary(): boolean {
+        return this.pendingBytes.length === 0;
     }
 
-    /** The end of the event that begins at `start`: behind its empty line; -1 when it isn't there yet. */
-    private boundary(start: number): number {
-        let feed = this.pending.indexOf(lineFeed, Math.max(start, this.searched));
-        while (feed >= 0) {
-            const next = this.pending[feed + 1] === carriageReturn ? feed + 2 : feed + 1;
-            if (this.pending[next] === lineFeed) {
+    /** Returns the index after the empty line that ends the event starting at `start`, or -1 when the event is incomplete. */
+    private findEventEnd(start: number): number {
+        let lineFeedIndex = this.pendingBytes.indexOf(lineFeed, Math.max(start, this.searchedLength));
+        while (lineFeedIndex >= 0) {
+            const next = this.pendingBytes[lineFeedIndex + 1] === carriageReturn
+                ? lineFeedIndex + 2
+                : lineFeedIndex + 1;
+            if (this.pendingBytes[next] === lineFeed) {
                 return next + 1;
             }
-            feed = this.pending.indexOf(lineFeed, feed + 1);
+            lineFeedIndex = this.pendingBytes.indexOf(lineFeed, lineFeedIndex + 1);
         }
         return -1;
     }
 }
 
-const identifierLine = /(?:^|\n)id:[ ]?([^\r\n]*)/;
+const idLine = /(?:^|\n)id:[ ]?([^\r\n]*)/;
 
-const eventIdentifier = (event: Buffer): string | undefined => identifierLine.exec(event.toString("latin1"))?.[1];
+const parseEventId = (event: Buffer): string | undefined => idLine.exec(event.toString("latin1"))?.[1];
--- a/src/adapters/forwarding/eventStream.ts
+++ b/src/adapters/forwarding/eventStream.ts
@@ -1,39 +1,39 @@
-/** The events of an endpoint's answer, as they come, for one reader. */
+/** Async iterator over the events of a streamed response, for a single consumer. */
 import type { IncomingMessage } from "node:http";
 import { StreamBrokenError, type StreamEvent } from "../../ports/forwardingPorts.js";
 import { describeError } from "../../utils/errors.js";
 import { EventReader } from "./eventReader.js";
 
-/** Events that may wait for the reader before the endpoint is held up. */
-const waitingAtMost = 64;
+/** Limit on queued events; above it the response is paused as backpressure on the endpoint. */
+const maximumQueuedEvents = 64;
 
-/** A read that waits for the next event. */
+/** A call of `next` that waits for an event. */
 interface PendingRead {
     resolve: (result: IteratorResult<StreamEvent>) => void;
     reject: (error: unknown) => void;
 }
 
-/** Where the stream stands once no more bytes come. */
+/** How the stream ended. */
 type StreamEnd = { type: "Whole"; } | { type: "Broken"; error: unknown; };
 
 /**
- * Reads events from an answer. Node's own iteration over a response, and generators over it, cost several promises an event;
- * an entry passes on thousands of events a second.
+ * Reads events from a response. Node's own iteration over a response, and generators over it, cost several promises per event,
+ * and an entry relays thousands of events per second.
  */
 export class EventStream implements AsyncIterableIterator<StreamEvent> {
     private readonly reader = new EventReader();
-    private readonly waiting: StreamEvent[] = [];
-    private pending: PendingRead | undefined;
+    private readonly queuedEvents: StreamEvent[] = [];
+    private pendingRead: PendingRead | undefined;
     private end: StreamEnd | undefined;
 
-    /** `checkWhole` throws when the answer was cut; `release` is called once, when the stream has ended. */
+    /** `throwIfIncomplete` throws when the response was cut. `onClosed` is called once, when the stream has ended. */
     constructor(
         private readonly response: IncomingMessage,
-        private readonly checkWhole: () => void,
-        private readonly release: () => void,
+        private readonly throwIfIncomplete: () => void,
+        private readonly onClosed: () => void,
     ) {
-        response.on("data", (bytes: Buffer) => this.take(bytes));
-        // An error that arrives together with the end is told a turn later; until then a cut answer looks whole.
+        response.on("data", (bytes: Buffer) => this.receive(bytes));
+        // Node emits an error that arrives together with the end one turn later; until then a cut response looks complete.
         response.once("end", () => setImmediate(() => this.finish()));
         response.once("error", error => this.close({ type: "Broken", error }));
         response.once("close", () => setImmediate(() => this.finish()));
@@ -45,43 +45,43 @@
 
     next(): Promise<IteratorResult<StreamEvent>> {
         return new Promise((resolve, reject) => {
-            this.pending = { resolve, reject };
-            this.serve();
+            this.pendingRead = { resolve, reject };
+            this.settlePendingRead();
         });
     }
 
-    /** The reader wants no more. */
+    /** Ends the stream early because the consumer needs no more events. */
     return(): Promise<IteratorResult<StreamEvent>> {
         this.close({ type: "Whole" });
         return Promise.resolve({ done: true, value: undefined });
     }
 
-    private take(bytes: Buffer): void {
+    private receive(bytes: Buffer): void {
         if (this.end) {
             return;
         }
         try {
-            this.waiting.push(...this.reader.push(bytes));
+            this.queuedEvents.push(...this.reader.push(bytes));
         }
         catch (error) {
             this.close({ type: "Broken", error });
             return;
         }
-        if (this.waiting.length >= waitingAtMost) {
+        if (this.queuedEvents.length >= maximumQueuedEvents) {
             this.response.pause();
         }
-        this.serve();
+        this.settlePendingRead();
     }
 
-    /** Judges an answer whose bytes have all come. */
+    /** Closes the stream after the last byte, as complete or as broken. */
     private finish(): void {
         if (this.end) {
             return;
         }
         try {
-            this.checkWhole();
-            if (!this.reader.whole) {
-                throw new StreamBrokenError("the stream ended within an event");
+            this.throwIfIncomplete();
+            if (!this.reader.isAtEventBoundary) {
+                throw new StreamBrokenError("the stream ended in the middle of an event");
             }
             this.close({ type: "Whole" });
         }
@@ -97,29 +97,29 @@
         this.end = end.type === "Broken" && !(end.error instanceof StreamBrokenError)
             ? { type: "Broken", error: new StreamBrokenError(describeError(end.error)) }
             : end;
-        this.release();
+        this.onClosed();
         if (!this.response.complete) {
             this.response.destroy();
         }
-        this.serve();
+        this.settlePendingRead();
     }
 
-    /** Serves the read that waits: the next event, or the end when none is left. */
-    private serve(): void {
-        const { pending } = this;
-        const event = pending && this.waiting.shift();
-        if (!pending || (!event && !this.end)) {
+    /** Settles the pending read with the next event, or with the end of the stream when the queue is empty. */
+    private settlePendingRead(): void {
+        const { pendingRead } = this;
+        const event = pendingRead && this.queuedEvents.shift();
+        if (!pendingRead || (!event && !this.end)) {
             return;
         }
-        this.pending = undefined;
+        this.pendingRead = undefined;
         if (event) {
-            pending.resolve({ done: false, value: event });
+            pendingRead.resolve({ done: false, value: event });
         }
         else if (this.end?.type === "Broken") {
-            pending.reject(this.end.error);
+            pendingRead.reject(this.end.error);
         }
         else {
-            pending.resolve({ done: true, value: undefined });
+            pendingRead.resolve({ done: true, value: undefined });
         }
         if (this.response.isPaused()) {
             this.response.resume();
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -1,8 +1,11 @@
-/** An entry that forwards callers' requests by routes: its parts wired together, its tasks and its planned stop. */
+/**
+ * An entry that forwards the requests of callers by routes. Connects its components, runs its background tasks and performs the
+ * planned stop.
+ */
 import type { ActiveConfiguration } from "../../core/configuration/activeConfiguration.js";
 import { StateFollower } from "../../core/configuration/stateFollower.js";
 import { EntryCore } from "../../core/entryCore.js";
-import type { PlannedStop } from "../../core/forwarding/forwardingParts.js";
+import type { PlannedStop } from "../../core/forwarding/forwardingDependencies.js";
 import type { EndpointDirectory } from "../../core/membership/endpointDirectory.js";
 import { EntryDiscovery } from "../../core/membership/entryDiscovery.js";
 import { PeerState } from "../../core/membership/peerState.js";
@@ -20,69 +23,72 @@
 import { CallerPort } from "./callerPort.js";
 import { EndpointClient } from "./endpointClient.js";
 import type { ForwardingSettings } from "./entrySettings.js";
+import type { ForwardingWire } from "./forwardingWire.js";
 import { serveMetrics } from "./metricsPort.js";
 import { PeerSocket } from "./peerSocket.js";
-import { type PeerKnowledge, PeerStateClient, servePeerState } from "./peerStateServer.js";
+import { PeerStateClient, type PeerStateSource, servePeerState } from "./peerStateServer.js";
 import { serveReadiness } from "./readinessPort.js";
-import type { ForwardingWire } from "./wireNames.js";
 
 /**
- * A stopping entry still serves what comes for this long. The balancer takes it out after two questions a second apart
- * without a good answer; closing earlier would cut requests that are on their way.
+ * How long a stopping entry keeps accepting requests. The balancer removes it after two failed health checks one second apart;
+ * closing earlier would cut requests in flight.
  */
-const lameDuck: Milliseconds = 2_600;
-/** Kept back from the grace for cutting what is left and ending the process. */
+const minimumDrainDuration: Milliseconds = 2_600;
+/** Reserved from the grace period for cutting the remaining requests and ending the process. */
 const stopMargin: Milliseconds = 600;
-const stopLook: Milliseconds = 50;
-/** Where the whole site starts for the first time nobody waits for it, and calls to the store can be spared. */
-const firstStartPatience: Milliseconds = 2_000;
-/** Otherwise callers wait; entries that live answer within a few milliseconds. */
-const restartPatience: Milliseconds = 20;
+const drainPollInterval: Milliseconds = 50;
+/**
+ * How long an entry waits for its peers before it asks the store, when the whole site starts for the first time. No caller is
+ * waiting yet, and the longer wait avoids calls to the store.
+ */
+const firstStartPeerTimeout: Milliseconds = 2_000;
+/** The same wait at any other start. Callers are waiting, and running entries respond within a few milliseconds. */
+const restartPeerTimeout: Milliseconds = 20;
 
-/** Entries that a starting one asks for the work in progress, and how long it waits for each; some may be gone. */
-const loadsAskedAtMost = 3;
-const loadsAnswerAtMost: Milliseconds = 300;
-/** How often an entry looks whether it has begun to choose endpoints: soon after its start, and later. */
-const startTime: Milliseconds = 3_000;
-const startLook: Milliseconds = 20;
-const placingLook: Milliseconds = 250;
-/** How long the named entries may take to answer before the store's list is read. */
-const meetPatience: Milliseconds = 300;
+/** How many peers an entry asks for the work in progress before it gives up, and the timeout for each; some may be gone. */
+const maximumWorkQueries = 3;
+const workQueryTimeout: Milliseconds = 300;
+/** How often an entry checks whether it has become a placer: at short intervals during startup, at longer ones afterwards. */
+const startupDuration: Milliseconds = 3_000;
+const startupPollInterval: Milliseconds = 20;
+const placerPollInterval: Milliseconds = 250;
+/** Minimum time that the seed entries get to respond before the list of entries is read from the store. */
+const minimumSeedTimeout: Milliseconds = 300;
 
-/** What an entry needs of the world. */
-export interface ForwardingEntryParts {
+/** Dependencies of {@link ForwardingEntry}. */
+export interface ForwardingEntryDependencies {
     clock: Clock;
     random: Random;
     store: StatePort;
     memory: MemoryPort;
     wire: ForwardingWire;
     log: (part: string) => PartLog;
-    /** Gauges of the program around it. */
+    /** Additional gauges of the surrounding program. */
     gauges?: () => Record<string, number>;
 }
 
 type FollowedKind = Exclude<StateKind, StateKind.Entries>;
 type Followers = { readonly [Kind in FollowedKind]: StateFollower<Kind>; };
 
-/** A running entry. */
+/** A forwarding entry. */
 export class ForwardingEntry {
     private readonly core: EntryCore;
-    private readonly callers: CallerPort;
+    private readonly callerPort: CallerPort;
     private readonly self: PeerIdentity;
     private readonly peerSocket: PeerSocket;
     private readonly log: PartLog;
-    private readonly ending = new AbortController();
-    private readiness: Listener | undefined;
+    private readonly closeController = new AbortController();
+    private readinessListener: Listener | undefined;
     private metricsListener: Listener | undefined;
-    /** Answers other entries' questions. */
-    private questions: Listener | undefined;
+    /** Serves the state queries of other entries. */
+    private peerStateListener: Listener | undefined;
     private readonly followers: Followers;
-    private readonly asking: PeerStateClient;
-    private entryList: EntryDiscovery | undefined;
+    private readonly peerStateClient: PeerStateClient;
+    private entryDiscovery: EntryDiscovery | undefined;
     private plannedStop: PlannedStop | undefined;
 
-    constructor(private settings: ForwardingSettings, private readonly parts: ForwardingEntryParts) {
-        const { clock, random, wire, log } = parts;
+    constructor(private settings: ForwardingSettings, private readonly dependencies: ForwardingEntryDependencies) {
+        const { clock, random, wire, log } = dependencies;
         this.log = log("entry");
         const { instance, listen } = settings;
         const { dataCentre } = instance;
@@ -96,7 +102,7 @@
             dataCentre,
             channel: this.peerSocket,
             endpoints: new EndpointClient(wire, clock),
-            memory: parts.memory,
+            memory: dependencies.memory,
             policy: settings.placement.policy,
             sharesLoads: settings.placement.shared,
             processors: instance.processors,
@@ -111,30 +117,41 @@
             stop: () => this.plannedStop,
         });
         const { peers, membership } = this.core;
-        this.asking = new PeerStateClient(clock, log("peers"));
-        const peerState = new PeerState(peers, this.asking, membership, dataCentre, random);
-        const patience = this.patience();
-        const follow = { store: parts.store, peers: peerState, clock, random, log: log("store"), patience };
+        this.peerStateClient = new PeerStateClient(clock, log("peers"));
+        const peerState = new PeerState(peers, this.peerStateClient, membership, dataCentre, random);
+        const patience = this.peerTimeout();
+        const followerDependencies = {
+            store: dependencies.store,
+            peers: peerState,
+            clock,
+            random,
+            log: log("store"),
+            patience,
+        };
         const { Configuration, Endpoints, DataCentresOut } = StateKind;
         this.followers = {
-            [Configuration]: new StateFollower(follow, Configuration, this.configurationSink()),
-            [Endpoints]: new StateFollower(follow, Endpoints, this.core.directory),
-            [DataCentresOut]: new StateFollower(follow, DataCentresOut, this.core.directory.excludedDataCentres),
+            [Configuration]: new StateFollower(followerDependencies, Configuration, this.configurationSink()),
+            [Endpoints]: new StateFollower(followerDependencies, Endpoints, this.core.directory),
+            [DataCentresOut]: new StateFollower(
+                followerDependencies,
+                DataCentresOut,
+                this.core.directory.excludedDataCentres,
+            ),
         };
         peers.onStateDelta = change => {
             if (change.kind !== StateKind.Entries) {
                 this.followers[change.kind].applyDelta(change);
             }
         };
-        this.callers = new CallerPort({
+        this.callerPort = new CallerPort({
             wire,
             clock,
             log: log("callers"),
             serve: exchange => this.core.forwarder.serve(exchange),
             routes: () => this.configuration.routes,
-            stopping: () => this.plannedStop !== undefined,
+            isStopping: () => this.plannedStop !== undefined,
         });
-        this.configuration.onChange(routes => this.callers.limit(routes));
+        this.configuration.onChange(routes => this.callerPort.applyLimits(routes));
     }
 
     get configuration(): ActiveConfiguration {
@@ -145,43 +162,43 @@
         return this.core.directory;
     }
 
-    /** Whether this entry should get callers. */
+    /** Whether this entry should receive callers. */
     get ready(): boolean {
-        return this.core.forwarder.ready && this.plannedStop === undefined;
+        return this.core.forwarder.isReady && this.plannedStop === undefined;
     }
 
-    /** What this entry believes to be in progress at an endpoint. */
+    /** Estimated load of an endpoint. */
     loadOf(endpoint: string): EndpointLoad {
         return this.core.loads.load(endpoint);
     }
 
-    /** Starts listening and following the store; resolves with the real addresses. */
+    /** Starts listening and following the store; resolves with the actual addresses. */
     async start(): Promise<{ callers: string; readiness: string; peers: string; metrics: string; }> {
         const { listen, instance } = this.settings;
-        this.readiness = await serveReadiness(listen.readiness, () => this.ready);
+        this.readinessListener = await serveReadiness(listen.readiness, () => this.ready);
         this.metricsListener = await serveMetrics(listen.metrics, () => this.core.metrics.text(this.gauges()));
-        this.questions = await listenOnSamePort(
+        this.peerStateListener = await listenOnSamePort(
             listen.peers,
-            address => servePeerState(address, this.knowledge, this.parts.log("peers")),
+            address => servePeerState(address, this.peerStateSource, this.dependencies.log("peers")),
             address => this.peerSocket.listen(address),
         );
-        this.self.address = this.questions.address;
-        this.run("the heartbeat", this.core.peers.runHeartbeats(this.ending.signal));
-        this.run("finding entries", this.meetPeers());
+        this.self.address = this.peerStateListener.address;
+        this.runTask("the heartbeat", this.core.peers.runHeartbeats(this.closeController.signal));
+        this.runTask("discovering entries", this.discoverPeers());
         for (const follower of Object.values(this.followers)) {
-            this.run("following the store", follower.run(this.ending.signal));
+            this.runTask("following the store", follower.run(this.closeController.signal));
         }
-        const callers = await this.callers.listen(listen.callers);
+        const callers = await this.callerPort.listen(listen.callers);
         this.log.info("The entry has started.", { instance: instance.id, callers });
         return {
             callers,
-            readiness: this.readiness.address,
+            readiness: this.readinessListener.address,
             peers: this.self.address,
             metrics: this.metricsListener.address,
         };
     }
 
-    /** Takes changed settings. Addresses that it listens on stay until the next start. */
+    /** Applies changed settings. Listen addresses change only at the next start. */
     reload(settings: ForwardingSettings): void {
         this.settings = settings;
         this.log.info("The settings were read again.", {
@@ -192,66 +209,70 @@
     }
 
     /**
-     * Planned stop: not ready at once, serving what still comes until the balancer has noticed, then until the last
-     * request has its answer or the grace is over. Resolves when nothing is left.
+     * Stops the entry as planned. It reports that it is not ready at once, keeps serving until the balancer has noticed, then
+     * drains until the last request has ended or the grace period is over. Resolves when everything is closed.
      */
     async stop(): Promise<void> {
-        const { clock } = this.parts;
-        const begun = clock.now();
-        const endsAt = begun + this.settings.stop.graceSeconds * 1_000 - stopMargin;
-        this.plannedStop = { begunAt: begun, endsAt };
+        const { clock } = this.dependencies;
+        const startedAt = clock.now();
+        const endsAt = startedAt + this.settings.stop.graceSeconds * 1_000 - stopMargin;
+        this.plannedStop = { startedAt, endsAt };
         this.core.peers.publishStopping();
-        if (this.entryList) {
-            this.run("leaving the list of entries", this.entryList.withdraw(this.ending.signal));
+        if (this.entryDiscovery) {
+            this.runTask("leaving the list of entries", this.entryDiscovery.withdraw(this.closeController.signal));
         }
-        this.log.info("The entry is stopping.", { active: this.core.forwarder.active });
-        await clock.sleep(Math.min(lameDuck, endsAt - begun));
+        this.log.info("The entry is stopping.", { active: this.core.forwarder.activeCount });
+        await clock.sleep(Math.min(minimumDrainDuration, endsAt - startedAt));
         while (clock.now() < endsAt) {
-            this.callers.closeIdle();
-            if (this.core.forwarder.active === 0 && this.callers.connections === 0) {
+            this.callerPort.closeIdleConnections();
+            if (this.core.forwarder.activeCount === 0 && this.callerPort.connectionCount === 0) {
                 break;
             }
-            await clock.sleep(stopLook);
+            await clock.sleep(drainPollInterval);
         }
-        this.log.info("The entry has stopped.", { active: this.core.forwarder.active, took: clock.now() - begun });
+        this.log.info("The entry has stopped.", {
+            active: this.core.forwarder.activeCount,
+            took: clock.now() - startedAt,
+        });
         await this.close();
     }
 
-    /** Ends at once and cuts what is left. */
+    /** Closes the entry at once and cuts the requests in progress. */
     async close(): Promise<void> {
-        if (this.ending.signal.aborted) {
+        if (this.closeController.signal.aborted) {
             return;
         }
-        this.ending.abort();
+        this.closeController.abort();
         this.peerSocket.close();
         await Promise.all([
-            this.callers.close(),
-            this.readiness?.close(),
-            this.questions?.close(),
+            this.callerPort.close(),
+            this.readinessListener?.close(),
+            this.peerStateListener?.close(),
             this.metricsListener?.close(),
         ]);
     }
 
-    private readonly knowledge: PeerKnowledge = {
+    private readonly peerStateSource: PeerStateSource = {
         stateSince: (kind, revision) =>
             kind === StateKind.Entries ? undefined : this.followers[kind].mirror.updateSince(revision),
-        loadsInProgress: () => this.core.loads.inProgress(),
-        stamp: () => Object.values(this.followers).map(({ mirror }) => mirror.revision).join(","),
+        workInProgress: () => this.core.loads.inProgress(),
+        stateVersion: () => Object.values(this.followers).map(({ mirror }) => mirror.revision).join(","),
     };
 
     /**
-     * Asks an entry that was there before what is in progress. A process that has just started believes all endpoints idle;
-     * while entries are restarted in turn each would place short prompts where others' long ones are read.
+     * Fetches the work in progress from an entry that started earlier. A process that has just started estimates all endpoints
+     * as idle; during a rolling restart each entry would place short prompts on endpoints that are prefilling long prompts of
+     * others.
      */
-    private async learnLoads(): Promise<void> {
-        const { random } = this.parts;
+    private async fetchWorkInProgress(): Promise<void> {
+        const { random } = this.dependencies;
         const { peers } = this.core;
         const { everyone, others } = peers.placers();
-        const knowing = everyone ? peers.livingPeers().map(({ identity }) => identity) : others;
-        const asked = knowing.map(({ address }) => ({ address, order: random.next() }))
-            .sort((left, right) => left.order - right.order).slice(0, loadsAskedAtMost);
-        for (const { address } of asked) {
-            const works = await this.asking.fetchWorkInProgress(address, loadsAnswerAtMost);
+        const informedPeers = everyone ? peers.livingPeers().map(({ identity }) => identity) : others;
+        const queriedPeers = informedPeers.map(({ address }) => ({ address, order: random.next() }))
+            .sort((left, right) => left.order - right.order).slice(0, maximumWorkQueries);
+        for (const { address } of queriedPeers) {
+            const works = await this.peerStateClient.fetchWorkInProgress(address, workQueryTimeout);
             if (works && works.length > 0) {
                 this.core.loads.merge(works);
                 this.log.info("The work in progress was learned.", { from: address, works: works.length });
@@ -260,22 +281,25 @@
         }
     }
 
-    /** How long this entry waits for others that know before it asks the store. */
-    private patience(): Milliseconds {
+    /** How long this entry waits for state from its peers before it asks the store. */
+    private peerTimeout(): Milliseconds {
         const { seeds, firstStart } = this.settings.peers;
         if (seeds.every(address => address === this.settings.listen.peers)) {
             return 0;
         }
-        // At the first start the named entries read the store, and all others learn from them.
-        return firstStart && !seeds.includes(this.settings.listen.peers) ? firstStartPatience : restartPatience;
+        // At the first start the seed entries read the store, and all others get the state from them.
+        return firstStart && !seeds.includes(this.settings.listen.peers) ? firstStartPeerTimeout : restartPeerTimeout;
     }
 
-    /** Finds the other entries; learns from one of them what is in progress, as soon as one was heard. */
-    private async meetPeers(): Promise<void> {
-        const { store, clock, log } = this.parts;
-        const { signal } = this.ending;
+    /**
+     * Discovers the other entries and, where placements are shared, fetches their work in progress when this entry becomes a
+     * placer.
+     */
+    private async discoverPeers(): Promise<void> {
+        const { store, clock, log } = this.dependencies;
+        const { signal } = this.closeController;
         const { peers, membership } = this.core;
-        this.entryList = new EntryDiscovery({
+        this.entryDiscovery = new EntryDiscovery({
             store,
             peers,
             membership,
@@ -283,29 +307,32 @@
             log: log("peers"),
             self: this.self,
             seeds: this.settings.peers.seeds,
-            patience: Math.max(meetPatience, this.patience()),
+            patience: Math.max(minimumSeedTimeout, this.peerTimeout()),
             stopping: () => this.plannedStop !== undefined,
         });
-        const finding = this.entryList.run(signal);
+        const discovery = this.entryDiscovery.run(signal);
         if (this.settings.placement.shared) {
-            this.run("learning loads", this.learnLoadsWhenPlacing());
+            this.runTask("fetching the work in progress", this.fetchWorkWhenPlacing());
         }
-        await finding;
+        await discovery;
     }
 
-    /** Whoever begins to choose endpoints, for itself or for others, learns what was placed before. */
-    private async learnLoadsWhenPlacing(): Promise<void> {
-        const { clock } = this.parts;
-        const { signal } = this.ending;
+    /** Fetches the work in progress whenever this entry becomes a placer, for itself or for others. */
+    private async fetchWorkWhenPlacing(): Promise<void> {
+        const { clock } = this.dependencies;
+        const { signal } = this.closeController;
         const { peers } = this.core;
-        let learned = false;
-        for (const begun = clock.now(); !signal.aborted;) {
+        let hasFetched = false;
+        for (const startedAt = clock.now(); !signal.aborted;) {
             const { self } = peers.placers();
-            if (self && !learned && peers.livingCount > 1) {
-                await this.learnLoads();
+            if (self && !hasFetched && peers.livingCount > 1) {
+                await this.fetchWorkInProgress();
             }
-            learned = self && peers.livingCount > 1;
-            await clock.sleep(clock.now() - begun < startTime ? startLook : placingLook, signal);
+            hasFetched = self && peers.livingCount > 1;
+            await clock.sleep(
+                clock.now() - startedAt < startupDuration ? startupPollInterval : placerPollInterval,
+                signal,
+            );
         }
     }
 
@@ -313,20 +340,20 @@
         const { user, system } = process.cpuUsage();
         return {
             ready: this.ready ? 1 : 0,
-            active_requests: this.core.forwarder.active,
-            caller_connections: this.callers.connections,
+            active_requests: this.core.forwarder.activeCount,
+            caller_connections: this.callerPort.connectionCount,
             configuration_version: this.configuration.version,
-            ...this.unreadGauges(),
+            ...this.storeAgeGauges(),
             living_entries: this.core.peers.livingCount,
             counted_entries: this.core.membership.size,
             limited_endpoints: this.core.limits.count,
             resident_memory_bytes: process.memoryUsage.rss(),
             processor_milliseconds_total: Math.round((user + system) / 1_000),
-            ...this.parts.gauges?.(),
+            ...this.dependencies.gauges?.(),
         };
     }
 
-    private unreadGauges(): Record<string, number> {
+    private storeAgeGauges(): Record<string, number> {
         const gauges: Record<string, number> = {};
         for (const [kind, age] of Object.entries(this.readAges())) {
             gauges[`store_unread_milliseconds{kind="${kind}"}`] = age;
@@ -354,24 +381,24 @@
         return known;
     }
 
-    private run(task: string, work: Promise<void>): void {
-        work.catch(error => this.log.error("A task ended.", { task, error: describeError(error) }));
+    private runTask(task: string, work: Promise<void>): void {
+        work.catch(error => this.log.error("A background task failed.", { task, error: describeError(error) }));
     }
 
     private configurationSink(): StateSink<RoutingConfiguration> {
-        const take = (
+        const adoptItems = (
             items: readonly { name: string; revision: number; value: RoutingConfiguration | undefined; }[],
         ) => {
             for (const { name, revision, value } of items) {
                 if (value && this.configuration.adopt(value)) {
-                    // bunyan's own field `name` says which entry wrote the line.
+                    // The field `name` is reserved by bunyan for the name of the entry.
                     this.log.info("A configuration is in force.", { object: name, revision, version: value.version });
                 }
             }
         };
         return {
-            replace: snapshot => take(snapshot.items),
-            apply: changes => take(changes.changes),
+            replace: snapshot => adoptItems(snapshot.items),
+            apply: changes => adoptItems(changes.changes),
         };
     }
 }
--- a/src/adapters/forwarding/metricsPort.ts
+++ b/src/adapters/forwarding/metricsPort.ts
@@ -1,10 +1,10 @@
-/** Serves counters, gauges and latencies for metric collectors. */
+/** Serves counters, gauges and latencies to metrics collectors. */
 import { listen, type Listener } from "../../utils/httpServer.js";
 
-/** Answers any request at `address` with `text`. */
-export const serveMetrics = (address: string, text: () => string): Promise<Listener> =>
+/** Responds to any request at `address` with the text that `formatMetrics` returns. */
+export const serveMetrics = (address: string, formatMetrics: () => string): Promise<Listener> =>
     listen(address, (request, response) => {
         request.resume();
-        response.writeHead(200, { "content-type": "text/plain; version=0.0.4" }).end(text());
+        response.writeHead(200, { "content-type": "text/plain; version=0.0.4" }).end(formatMetrics());
         return Promise.resolve();
     });
--- a/src/adapters/forwarding/peerSocket.ts
+++ b/src/adapters/forwarding/peerSocket.ts
@@ -1,4 +1,4 @@
-/** Datagrams between entries, as JSON-RPC 2.0 notifications. */
+/** Exchanges datagrams between entries as JSON-RPC 2.0 notifications. */
 import { JSONRPCClient, type JSONRPCRequest, JSONRPCServer } from "json-rpc-2.0";
 import dgram from "node:dgram";
 import * as z from "zod";
@@ -10,11 +10,11 @@
 import { describeError } from "../../utils/errors.js";
 import type { PartLog } from "../../utils/log.js";
 
-const newsMethod = "news";
-/** A datagram above this would be split on the way, and lost when any piece is. */
-const datagramBytesAtMost = 60_000;
+const updateMethod = "news";
+/** Size limit of a datagram. A larger one would be split in transit, and lost when any fragment is. */
+const maximumDatagramBytes = 60_000;
 
-const work = z.object({
+const workSchema = z.object({
     id: z.string(),
     owner: z.string(),
     readTokens: z.number(),
@@ -26,14 +26,14 @@
     endsIn: z.number(),
 });
 
-const part = z.tuple([z.string(), z.enum(WorkPart), z.number()]);
-const known = z.partialRecord(z.enum(StateKind), z.number());
-const readAges = z.partialRecord(z.enum(StateKind), z.number());
+const workPartSchema = z.tuple([z.string(), z.enum(WorkPart), z.number()]);
+const knownRevisionsSchema = z.partialRecord(z.enum(StateKind), z.number());
+const readAgesSchema = z.partialRecord(z.enum(StateKind), z.number());
 
-const peerAddress = z.object({ id: z.string(), address: z.string() });
-const status = z.object({
-    known,
-    readAges,
+const peerAddressSchema = z.object({ id: z.string(), address: z.string() });
+const statusSchema = z.object({
+    known: knownRevisionsSchema,
+    readAges: readAgesSchema,
     dataCentre: z.string(),
     reads: z.boolean(),
     signInterval: z.number(),
@@ -41,7 +41,7 @@
     places: z.boolean(),
     limits: z.array(z.object({ endpoint: z.string(), perSecond: z.number().optional(), age: z.number() })),
 });
-const change = z.object({
+const stateDeltaSchema = z.object({
     kind: z.enum(StateKind),
     after: z.number(),
     revision: z.number(),
@@ -54,7 +54,7 @@
     })),
 });
 
-const question = z.object({
+const placementQuestionSchema = z.object({
     serial: z.number(),
     requestId: z.string(),
     service: z.string(),
@@ -72,7 +72,7 @@
     spent: z.array(z.string()),
     without: z.string().optional(),
 });
-const placement = z.object({
+const placementSchema = z.object({
     endpoint: z.string(),
     helpers: z.array(z.string()),
     shares: z.array(z.tuple([z.string(), z.number()])),
@@ -84,55 +84,64 @@
     yields: z.boolean(),
     postponed: z.boolean(),
 });
-const answer = z.discriminatedUnion("type", [
+const placementAnswerSchema = z.discriminatedUnion("type", [
     z.object({ type: z.literal("Declined"), serial: z.number() }),
     z.object({ type: z.literal("NoEndpoint"), serial: z.number() }),
-    z.object({ type: z.literal("Chosen"), serial: z.number(), placement, busyFor: z.number() }),
+    z.object({ type: z.literal("Chosen"), serial: z.number(), placement: placementSchema, busyFor: z.number() }),
 ]);
 
-const message = z.object({
-    from: peerAddress.extend({ incarnation: z.string() }),
+const messageSchema = z.object({
+    from: peerAddressSchema.extend({ incarnation: z.string() }),
     news: z.array(z.discriminatedUnion("type", [
-        z.object({ type: z.literal("Placed"), work, parts: z.array(part) }),
+        z.object({ type: z.literal("Placed"), work: workSchema, parts: z.array(workPartSchema) }),
         z.object({ type: z.literal("Writing"), endpoint: z.string(), id: z.string() }),
         z.object({ type: z.literal("Ended"), endpoints: z.array(z.string()), id: z.string() }),
-        z.object({ type: z.literal("Alive"), inProgress: z.array(z.string()).optional(), status }),
-        z.object({ type: z.literal("StoreRead"), known, readAges, change: change.optional() }),
+        z.object({ type: z.literal("Alive"), inProgress: z.array(z.string()).optional(), status: statusSchema }),
+        z.object({
+            type: z.literal("StoreRead"),
+            known: knownRevisionsSchema,
+            readAges: readAgesSchema,
+            change: stateDeltaSchema.optional(),
+        }),
         z.object({ type: z.literal("Outcome"), endpoint: z.string(), fate: z.enum(SendResult) }),
-        z.object({ type: z.literal("PlacementAsked"), question }),
-        z.object({ type: z.literal("PlacementAnswered"), answer }),
+        z.object({ type: z.literal("PlacementAsked"), question: placementQuestionSchema }),
+        z.object({ type: z.literal("PlacementAnswered"), answer: placementAnswerSchema }),
         z.object({ type: z.literal("Stopping") }),
         z.object({ type: z.literal("Greeting") }),
-        z.object({ type: z.literal("Entries"), entries: z.array(peerAddress) }),
+        z.object({ type: z.literal("Entries"), entries: z.array(peerAddressSchema) }),
     ])),
 });
-/** Changes with each incompatible change of what is told; entries of another version are not understood. */
+/** Version of the message format, raised with each incompatible change. Packets of another version are dropped. */
 const formatVersion = 4;
-const packet = z.object({ format: z.literal(formatVersion), messages: z.array(message), passOn: z.enum(RelayScope) });
+const packetSchema = z.object({
+    format: z.literal(formatVersion),
+    messages: z.array(messageSchema),
+    passOn: z.enum(RelayScope),
+});
 
-/** The channel to the other entries. */
+/** The UDP channel to the other entries. */
 export class PeerSocket implements PeerChannelPort {
     private readonly socket = dgram.createSocket("udp4");
     private readonly server = new JSONRPCServer({ errorListener: () => {} });
     private addresses: readonly string[] = [];
     private readonly client = new JSONRPCClient((request: JSONRPCRequest) => this.write(request));
-    private failures = 0;
+    private failureCount = 0;
 
-    constructor(private readonly log: PartLog, hear: (heard: PeerPacket) => void) {
-        this.server.addMethod(newsMethod, parameters => {
-            const heard = packet.safeParse(parameters);
-            if (heard.success) {
-                hear(heard.data as PeerPacket);
+    constructor(private readonly log: PartLog, onPacket: (packet: PeerPacket) => void) {
+        this.server.addMethod(updateMethod, parameters => {
+            const parsed = packetSchema.safeParse(parameters);
+            if (parsed.success) {
+                onPacket(parsed.data as PeerPacket);
             }
             else {
-                this.log.warn("A datagram can't be read.", { reason: heard.error.issues[0]?.message });
+                this.log.warn("A datagram is invalid.", { reason: parsed.error.issues[0]?.message });
             }
         });
         this.socket.on("message", bytes => void this.receive(bytes));
-        this.socket.on("error", error => this.noteFailure(error));
+        this.socket.on("error", error => this.logFailure(error));
     }
 
-    /** Takes datagrams at `host:port`; resolves with the real address. Rejects when it can't be had. */
+    /** Receives datagrams at `host:port`; resolves with the actual address. Rejects when the address is unavailable. */
     listen(address: string): Promise<string> {
         const { host, port } = splitAddress(address);
         return new Promise((resolve, reject) => {
@@ -144,9 +153,9 @@
         });
     }
 
-    send(addresses: readonly string[], sent: PeerPacket): void {
+    send(addresses: readonly string[], outgoing: PeerPacket): void {
         this.addresses = addresses;
-        this.client.notify(newsMethod, { format: formatVersion, ...sent });
+        this.client.notify(updateMethod, { format: formatVersion, ...outgoing });
     }
 
     close(): void {
@@ -155,15 +164,15 @@
 
     private write(request: JSONRPCRequest): Promise<void> {
         const bytes = Buffer.from(JSON.stringify(request));
-        if (bytes.length > datagramBytesAtMost) {
-            this.log.warn("News is too large for a datagram.", { bytes: bytes.length });
+        if (bytes.length > maximumDatagramBytes) {
+            this.log.warn("An update exceeds the size limit of a datagram.", { bytes: bytes.length });
             return Promise.resolve();
         }
         for (const address of this.addresses) {
             const { host, port } = splitAddress(address);
             this.socket.send(bytes, port, host, error => {
                 if (error) {
-                    this.noteFailure(error);
+                    this.logFailure(error);
                 }
             });
         }
@@ -175,15 +184,18 @@
             await this.server.receiveJSON(bytes.toString("utf8"));
         }
         catch (error) {
-            this.noteFailure(error);
+            this.logFailure(error);
         }
     }
 
-    /** A peer that is gone makes each send fail; one line a thousand tells enough. */
-    private noteFailure(error: unknown): void {
-        if (this.failures % 1_000 === 0) {
-            this.log.warn("A datagram failed.", { failures: this.failures, reason: describeError(error) });
+    /** Logs one of every 1,000 failures, since every send to a peer that is gone fails. */
+    private logFailure(error: unknown): void {
+        if (this.failureCount % 1_000 === 0) {
+            this.log.warn("A datagram could not be sent or processed.", {
+                failures: this.failureCount,
+                reason: describeError(error),
+            });
         }
-        this.failures++;
+        this.failureCount++;
     }
 }
--- a/src/adapters/forwarding/peerStateServer.ts
+++ b/src/adapters/forwarding/peerStateServer.ts
@@ -1,4 +1,7 @@
-/** Questions between entries for stored objects, as JSON-RPC 2.0 over HTTP. */
+/**
+ * Serves and sends state queries between entries as JSON-RPC 2.0 over HTTP. An entry fetches stored objects and the work in
+ * progress from its peers.
+ */
 import { JSONRPCClient, type JSONRPCRequest, type JSONRPCResponse, JSONRPCServer } from "json-rpc-2.0";
 import { constants, gzipSync } from "node:zlib";
 import * as z from "zod";
@@ -15,24 +18,24 @@
 import type { PartLog } from "../../utils/log.js";
 
 const stateMethod = "stateSince";
-const loadsMethod = "loadsInProgress";
-/** Changes with each incompatible change of what is exchanged; entries of another version are not understood. */
+const workInProgressMethod = "loadsInProgress";
+/** Version of the message format, raised with each incompatible change. Messages of another version are rejected. */
 const formatVersion = 1;
-const questionBytesAtMost = 4_096;
+const maximumQueryBytes = 4_096;
 
-const questionSchema = z.object({ format: z.literal(formatVersion), kind: z.enum(StateKind), revision: z.number() });
-const item = z.object({ name: z.string(), revision: z.number(), value: z.unknown() });
-const answerSchema = z.discriminatedUnion("type", [
+const stateQuerySchema = z.object({ format: z.literal(formatVersion), kind: z.enum(StateKind), revision: z.number() });
+const itemSchema = z.object({ name: z.string(), revision: z.number(), value: z.unknown() });
+const stateUpdateSchema = z.discriminatedUnion("type", [
     z.object({
         type: z.literal("Changes"),
         revision: z.number(),
         wasAway: z.boolean(),
-        changes: z.array(item.extend({ removed: z.boolean() })),
+        changes: z.array(itemSchema.extend({ removed: z.boolean() })),
     }),
-    z.object({ type: z.literal("Snapshot"), revision: z.number(), wasAway: z.boolean(), items: z.array(item) }),
+    z.object({ type: z.literal("Snapshot"), revision: z.number(), wasAway: z.boolean(), items: z.array(itemSchema) }),
 ]);
 
-const loadsSchema = z.object({
+const workInProgressSchema = z.object({
     format: z.literal(formatVersion),
     works: z.array(z.object({
         id: z.string(),
@@ -51,74 +54,74 @@
     })),
 });
 
-/** What this entry knows that others ask for. */
-export interface PeerKnowledge {
-    /** What is known of a kind after a revision. */
+/** State of this entry that its peers may query. */
+export interface PeerStateSource {
+    /** The changes of a kind of object after a revision. */
     stateSince(kind: StateKind, revision: number): StateUpdate<unknown> | undefined;
-    loadsInProgress(): WorkInProgress[];
-    /** Differs whenever an answer to {@link stateSince} may differ. */
-    stamp(): string;
+    workInProgress(): WorkInProgress[];
+    /** A version that changes whenever the result of {@link stateSince} may change. */
+    stateVersion(): string;
 }
 
-/** Answers above this go packed: a configuration of a thousand routes would take a thin link for a fifth of a second. */
-const packedAbove = 4_096;
-/** Packed answers that are kept; after a change dozens of entries ask the same. */
-const answersKept = 8;
+/** Larger responses are compressed: the configuration of a thousand routes would take a slow link a fifth of a second. */
+const compressionThresholdBytes = 4_096;
+/** Number of cached compressed responses. After a change dozens of entries send the same query. */
+const maximumCachedResponses = 8;
 
-/** Answers that were packed already, by what was asked. */
-class PackedAnswers {
-    private readonly answers = new Map<string, Buffer>();
+/** Cache of compressed responses by state version and query. */
+class CompressedResponseCache {
+    private readonly compressedByKey = new Map<string, Buffer>();
 
-    /** The packed form of `text`, which answers `question` as of `stamp`. */
-    pack(question: string, stamp: string, text: string): Buffer {
-        const key = `${stamp} ${question}`;
-        const kept = this.answers.get(key);
-        if (kept) {
-            return kept;
+    /** Compresses `text`, the response to `query` at `stateVersion`. */
+    compress(query: string, stateVersion: string, text: string): Buffer {
+        const key = `${stateVersion} ${query}`;
+        const cached = this.compressedByKey.get(key);
+        if (cached) {
+            return cached;
         }
-        const packed = gzipSync(text, { level: constants.Z_BEST_SPEED });
-        this.answers.set(key, packed);
-        for (const oldest of this.answers.keys()) {
-            if (this.answers.size <= answersKept) {
+        const compressed = gzipSync(text, { level: constants.Z_BEST_SPEED });
+        this.compressedByKey.set(key, compressed);
+        for (const oldest of this.compressedByKey.keys()) {
+            if (this.compressedByKey.size <= maximumCachedResponses) {
                 break;
             }
-            this.answers.delete(oldest);
+            this.compressedByKey.delete(oldest);
         }
-        return packed;
+        return compressed;
     }
 }
 
-/** Answers other entries' questions at `address`. */
-export const servePeerState = (address: string, knowledge: PeerKnowledge, log: PartLog): Promise<Listener> => {
+/** Serves the state queries of other entries at `address`. */
+export const servePeerState = (address: string, source: PeerStateSource, log: PartLog): Promise<Listener> => {
     const server = new JSONRPCServer();
-    const packed = new PackedAnswers();
+    const compressedResponses = new CompressedResponseCache();
     server.addMethod(stateMethod, parameters => {
-        const { kind, revision } = questionSchema.parse(parameters);
-        return knowledge.stateSince(kind, revision) ?? {};
+        const { kind, revision } = stateQuerySchema.parse(parameters);
+        return source.stateSince(kind, revision) ?? {};
     });
-    server.addMethod(loadsMethod, () => ({ format: formatVersion, works: knowledge.loadsInProgress() }));
+    server.addMethod(workInProgressMethod, () => ({ format: formatVersion, works: source.workInProgress() }));
     return listen(address, async (request, response) => {
         try {
-            const question = (await readBody(request, questionBytesAtMost)).toString("utf8");
-            const answer = JSON.stringify(await server.receive(JSON.parse(question) as JSONRPCRequest));
+            const query = (await readBody(request, maximumQueryBytes)).toString("utf8");
+            const reply = JSON.stringify(await server.receive(JSON.parse(query) as JSONRPCRequest));
             const headers = { "content-type": "application/json" };
-            if (answer.length <= packedAbove) {
-                response.writeHead(200, headers).end(answer);
+            if (reply.length <= compressionThresholdBytes) {
+                response.writeHead(200, headers).end(reply);
                 return;
             }
-            const bytes = packed.pack(question, knowledge.stamp(), answer);
+            const bytes = compressedResponses.compress(query, source.stateVersion(), reply);
             response.writeHead(200, { ...headers, "content-encoding": "gzip", "content-length": bytes.length }).end(
                 bytes,
             );
         }
         catch (error) {
-            log.warn("An entry's question can't be read.", { reason: describeError(error) });
+            log.warn("A state query is invalid.", { reason: describeError(error) });
             sendJson(response, 400, {});
         }
     });
 };
 
-/** Asks other entries. */
+/** Client for the state queries of other entries. */
 export class PeerStateClient implements PeerStatePort {
     constructor(private readonly clock: Clock, private readonly log: PartLog) {}
 
@@ -126,38 +129,43 @@
         address: string,
         kind: Kind,
         revision: number,
-        limit: Milliseconds,
+        timeout: Milliseconds,
     ): Promise<StateUpdate<StateValues[Kind]> | undefined> {
-        const question = { format: formatVersion, kind, revision };
-        const answer = answerSchema.safeParse(await this.call(address, stateMethod, question, limit));
-        // The values were decoded by an entry of the same format.
-        return answer.success ? answer.data as StateUpdate<StateValues[Kind]> : undefined;
+        const query = { format: formatVersion, kind, revision };
+        const response = stateUpdateSchema.safeParse(await this.call(address, stateMethod, query, timeout));
+        // The peer has already decoded the values, and uses the same format.
+        return response.success ? response.data as StateUpdate<StateValues[Kind]> : undefined;
     }
 
-    async fetchWorkInProgress(address: string, limit: Milliseconds): Promise<WorkInProgress[] | undefined> {
-        const answer = loadsSchema.safeParse(await this.call(address, loadsMethod, {}, limit));
-        return answer.success
-            ? answer.data.works.map(({ targetGap, firstEventIn, ...work }) => ({ ...work, targetGap, firstEventIn }))
+    async fetchWorkInProgress(address: string, timeout: Milliseconds): Promise<WorkInProgress[] | undefined> {
+        const response = workInProgressSchema.safeParse(await this.call(address, workInProgressMethod, {}, timeout));
+        return response.success
+            ? response.data.works.map(({ targetGap, firstEventIn, ...work }) => ({ ...work, targetGap, firstEventIn }))
             : undefined;
     }
 
-    /** The answer of the entry at `address`; undefined when it gives none in time. */
+    /** Resolves with the response of the entry at `address`, or with undefined when none arrives in time. */
     private async call(
         address: string,
         method: string,
-        question: object,
-        limit: Milliseconds,
+        query: object,
+        timeout: Milliseconds,
     ): Promise<unknown> {
         const client = new JSONRPCClient(async (request: JSONRPCRequest) => {
             const send = (signal: AbortSignal) => requestJson({ address, method: "POST", path: "/", signal }, request);
-            const { value } = await withTimeout(this.clock, limit, "another entry's answer", send);
+            const { value } = await withTimeout(this.clock, timeout, "the response of another entry", send);
             client.receive(value as JSONRPCResponse);
         });
         try {
-            return await client.request(method, question);
+            return await client.request(method, query);
         }
         catch (error) {
-            this.log.info("An entry doesn't answer.", { address, method, question, error: describeError(error) });
+            this.log.info("An entry didn't respond to a state query.", {
+                address,
+                method,
+                question: query,
+                error: describeError(error),
+            });
             return undefined;
         }
     }
--- a/src/core/entryCore.ts
+++ b/src/core/entryCore.ts
@@ -11,7 +11,7 @@
 import { type RetryLimits, SharedRetryBudget } from "./budgets/sharedRetryBudget.js";
 import { ActiveConfiguration } from "./configuration/activeConfiguration.js";
 import { Forwarder } from "./forwarding/forwarder.js";
-import type { PlannedStop } from "./forwarding/forwardingParts.js";
+import type { PlannedStop } from "./forwarding/forwardingDependencies.js";
 import { EndpointDirectory } from "./membership/endpointDirectory.js";
 import { Membership } from "./membership/membership.js";
 import { Peers } from "./membership/peers.js";
@@ -84,9 +84,9 @@
             known: parts.known,
             readAges: parts.readAges,
             reads: parts.reads,
-            inProgress: () => this.forwarder.inProgress,
+            inProgress: () => this.forwarder.activeRequestIds,
             processors: parts.processors,
-            places: () => parts.sharesLoads && this.forwarder.ready && parts.stop() === undefined,
+            places: () => parts.sharesLoads && this.forwarder.isReady && parts.stop() === undefined,
             limits: () => this.limits.snapshot(),
             onLimits: told => this.limits.merge(told),
             onOutcome: (endpoint, fate) => this.noteOutcome(endpoint, fate),
@@ -128,19 +128,19 @@
             log: log("request"),
             configuration: this.configuration,
             directory: this.directory,
-            endpoints: parts.endpoints,
-            memory: parts.memory,
-            placing: this.placing,
-            loads: this.loads,
-            failures: this.failures,
-            repeats: new SharedRetryBudget(clock, parts.repeatLimits, () => this.membership.size),
-            cold,
-            limits: this.limits,
+            endpointPort: parts.endpoints,
+            memoryPort: parts.memory,
+            placementClient: this.placing,
+            loadEstimator: this.loads,
+            failureTracker: this.failures,
+            retryBudget: new SharedRetryBudget(clock, parts.repeatLimits, () => this.membership.size),
+            coldBudget: cold,
+            endpointLimits: this.limits,
             metrics: this.metrics,
-            entry: self.id,
+            entryId: self.id,
             dataCentre,
-            reads: parts.reads,
-            stop: parts.stop,
+            isStoreReachable: parts.reads,
+            plannedStop: parts.stop,
         });
     }
 
--- a/src/core/forwarding/attempts.ts
+++ b/src/core/forwarding/attempts.ts
@@ -1,48 +1,47 @@
-/** What became of the sends of one request so far. */
+/** Records the attempts of one request: which endpoints failed it, and whether it may have run. */
 
-/** The sends of one request. */
+/** The attempts of one request so far. */
 export class Attempts {
-    /** Endpoints that broke off; they get it again only when there is no other. */
-    readonly broken = new Set<string>();
-    /** Endpoints that refused it or can't be reached. */
-    readonly refused = new Set<string>();
-    /** Endpoints that had less memory than was believed. */
-    lacking: ReadonlySet<string> = new Set();
-    /** Tries to send, those that reached nobody included. */
-    tries = 0;
-    /** Whether an endpoint may have begun it. */
+    /** Endpoints that failed after they may have begun the request. They get it again only when there is no other. */
+    readonly brokenEndpoints = new Set<string>();
+    /** Endpoints that refused the request or could not be reached. */
+    readonly refusedEndpoints = new Set<string>();
+    /** Endpoints that had less free memory than estimated. */
+    endpointsWithoutMemory: ReadonlySet<string> = new Set();
+    /** Number of started attempts, including those that reached no endpoint. */
+    startedCount = 0;
+    /** Whether an endpoint may have begun the request. */
     mayHaveRun = false;
-    /** Sends that an endpoint of the route may have taken; they count against the route's attempts. */
-    taken = 0;
+    /** Attempts that an endpoint of the route may have received. They count against the attempt limit of the route. */
+    countedAttempts = 0;
 
-    /** Notes a send. */
-    begin(): void {
-        this.tries++;
-        this.taken++;
+    recordStarted(): void {
+        this.startedCount++;
+        this.countedAttempts++;
     }
 
-    /** The last send reached no endpoint of the route. */
-    withdraw(): void {
-        this.taken--;
+    /** Takes the last attempt out of the count because it reached no endpoint of the route. */
+    discountLast(): void {
+        this.countedAttempts--;
     }
 
-    /** These endpoints hadn't the memory; nothing was sent. */
-    noteLacking(endpoints: readonly string[]): void {
-        this.withdraw();
-        this.lacking = new Set([...this.lacking, ...endpoints]);
+    /** Records endpoints that could not reserve memory. Nothing was sent, so the attempt does not count. */
+    recordMemoryShortage(endpoints: readonly string[]): void {
+        this.discountLast();
+        this.endpointsWithoutMemory = new Set([...this.endpointsWithoutMemory, ...endpoints]);
     }
 
-    /** Forgets who lacked memory: by now some of it may be free again. */
-    forgetLacking(): void {
-        this.lacking = new Set();
+    /** Clears the endpoints without memory, since some memory may be free again by now. */
+    clearMemoryShortages(): void {
+        this.endpointsWithoutMemory = new Set();
     }
 
-    noteRefused(endpoint: string): void {
-        this.refused.add(endpoint);
+    recordRefused(endpoint: string): void {
+        this.refusedEndpoints.add(endpoint);
     }
 
-    noteBroken(endpoint: string): void {
-        this.broken.add(endpoint);
+    recordBroken(endpoint: string): void {
+        this.brokenEndpoints.add(endpoint);
         this.mayHaveRun = true;
     }
 }
--- a/src/core/forwarding/endpointSearch.ts
+++ b/src/core/forwarding/endpointSearch.ts
@@ -1,120 +1,131 @@
-/** Finds an endpoint for one request, puts it off while that is better, and turns it away when none can serve it. */
+/**
+ * Searches an endpoint for one request. Postpones the request while waiting gives a better placement, and rejects it when no
+ * endpoint can serve it in time.
+ */
 import type { Milliseconds } from "../../utils/clock.js";
 import { FailureKind } from "../failures.js";
 import { exceedsOneEngine, type Placement } from "../placement/endpointSelector.js";
 import type { PlacementRequest } from "../placement/placementClient.js";
-import { rejectBeforeStop, rejectHopeless, type Rejection, rejectWithoutEndpoint } from "./overload.js";
-import { memoryPauseAtMost, type RequestProgress } from "./requestProgress.js";
+import { type Rejection, rejectLateFirstEvent, rejectUnfinishedAtStop, rejectWithoutEndpoint } from "./overload.js";
+import { maximumMemoryRetryDelay, type RequestProgress } from "./requestProgress.js";
 
-/** A prompt that is larger than an engine's memory, and lacks it for longer, would not be read any more. */
-const memoryPatience: Milliseconds = 1_500;
-/** Factor on the prediction of a first event that was put off: predictions are off while much is asked for. */
-const postponedCaution = 1.5;
+/**
+ * Least remaining patience for a prompt that needs the memory of several engines to wait for memory. With less time left the
+ * prompt could no longer be prefilled.
+ */
+const minimumPatienceForMemory: Milliseconds = 1_500;
+/** Safety factor on the predicted first event of a postponed request, because predictions are less accurate under high load. */
+const postponedPredictionFactor = 1.5;
 
-/** The search. */
+/** The search for the endpoints of one request. */
 export class EndpointSearch {
     private wasPostponed = false;
 
     constructor(private readonly progress: RequestProgress) {}
 
-    /** The next endpoint to send to. Throws a failure when there is none. */
-    async next(): Promise<Placement> {
+    /** Resolves with the placement of the next attempt. Throws a {@link RequestFailure} when there is none. */
+    async nextPlacement(): Promise<Placement> {
         for (;;) {
-            this.progress.checkTime();
-            const placement = await this.choose();
-            if (placement && !(placement.postponed && this.canWait(placement))) {
+            this.progress.throwIfEnded();
+            const placement = await this.choosePlacement();
+            if (placement && !(placement.postponed && this.canPostpone(placement))) {
                 return placement;
             }
             await this.postpone(placement?.firstEvent);
         }
     }
 
-    /** The request as it looks for an endpoint now. */
+    /** The request with its current requirements, as the placement client expects it. */
     get placementRequest(): PlacementRequest {
         const { route, service, deadline } = this.progress.admission;
-        const need = {
+        const requirements = {
             service,
             promptTokens: this.progress.request.size?.promptTokens ?? 0,
-            answerTokens: this.progress.request.size?.answerTokensAtMost ?? 0,
+            answerTokens: this.progress.request.size?.maximumAnswerTokens ?? 0,
             targetLatency: route.targetLatency,
             targetGap: route.targetGap,
-            targetLeft: route.targetLatency - this.progress.waited,
+            targetLeft: route.targetLatency - this.progress.timeSinceArrival,
             patienceLeft: this.progress.patienceLeft,
-            dataCentre: this.progress.parts.dataCentre,
-            broken: this.progress.attempts.broken,
-            refused: this.progress.attempts.refused,
-            lacking: this.progress.attempts.lacking,
+            dataCentre: this.progress.dependencies.dataCentre,
+            broken: this.progress.attempts.brokenEndpoints,
+            refused: this.progress.attempts.refusedEndpoints,
+            lacking: this.progress.attempts.endpointsWithoutMemory,
         };
-        return { id: this.progress.request.id, requirements: need, endsBy: deadline };
+        return { id: this.progress.request.id, requirements, endsBy: deadline };
     }
 
-    /** Undefined where all endpoints together lack the memory now, and some of it may be free soon. */
-    private async choose(): Promise<Placement | undefined> {
+    /** Resolves with undefined when no endpoint has enough free memory now but some may become free soon. */
+    private async choosePlacement(): Promise<Placement | undefined> {
         const { service } = this.progress.admission;
-        const placement = await this.progress.parts.placing.choose(this.placementRequest);
-        if (!placement && this.progress.attempts.lacking.size > 0 && !this.progress.ended.aborted) {
-            this.progress.attempts.forgetLacking();
-            return await this.choose();
+        const placement = await this.progress.dependencies.placementClient.choose(this.placementRequest);
+        if (!placement && this.progress.attempts.endpointsWithoutMemory.size > 0 && !this.progress.ended.aborted) {
+            this.progress.attempts.clearMemoryShortages();
+            return await this.choosePlacement();
         }
-        if (!placement && this.mayFindMemory()) {
+        if (!placement && this.canMemoryBecomeFree()) {
             return undefined;
         }
         if (!placement) {
             const { detail, retryAfterSeconds } = rejectWithoutEndpoint(
                 service.name,
-                this.progress.parts.placing.timeUntilCapacity(this.placementRequest),
+                this.progress.dependencies.placementClient.timeUntilCapacity(this.placementRequest),
             );
-            throw this.progress.failure(FailureKind.NoEndpoint, detail, retryAfterSeconds);
+            throw this.progress.createFailure(FailureKind.NoEndpoint, detail, retryAfterSeconds);
         }
-        return this.worthSending(placement);
+        return this.acceptOrReject(placement);
     }
 
-    private mayFindMemory(): boolean {
+    private canMemoryBecomeFree(): boolean {
         const request = this.placementRequest;
         const { service: { engine }, promptTokens, answerTokens } = request.requirements;
-        const candidates = this.progress.parts.placing.candidates(request)
-            .filter(({ record }) => !this.progress.attempts.refused.has(record.id));
+        const candidates = this.progress.dependencies.placementClient.candidates(request)
+            .filter(({ record }) => !this.progress.attempts.refusedEndpoints.has(record.id));
         return engine !== undefined && exceedsOneEngine(request.requirements)
             && promptTokens + answerTokens <= engine.memoryTokens * candidates.length
-            && this.progress.patienceLeft > memoryPatience;
+            && this.progress.patienceLeft > minimumPatienceForMemory;
     }
 
-    /** Turns a request away that can't end in time. */
-    private worthSending(placement: Placement): Placement {
-        const rejection = this.rejectionOf(placement);
+    /** Returns the placement, or releases it and throws when the request can't end in time. */
+    private acceptOrReject(placement: Placement): Placement {
+        const rejection = this.findRejection(placement);
         if (!rejection && !this.progress.ended.aborted) {
             return placement;
         }
-        this.progress.parts.placing.release(placement, this.progress.request.id);
-        this.progress.checkTime();
-        throw this.progress.failure(rejection!.kind, rejection!.detail, rejection!.retryAfterSeconds);
+        this.progress.dependencies.placementClient.release(placement, this.progress.request.id);
+        this.progress.throwIfEnded();
+        throw this.progress.createFailure(rejection!.kind, rejection!.detail, rejection!.retryAfterSeconds);
     }
 
-    /** Why the request is turned away at once. A stream that has begun can't be, it could only be cut. */
-    private rejectionOf({ whole, firstEvent }: Placement): Rejection | undefined {
-        const { attempts, relay, parts, admission, patienceLeft } = this.progress;
-        if (relay.begun) {
+    /**
+     * Returns why the request is rejected, if it is. A stream that has started is never rejected, since it could only be cut.
+     */
+    private findRejection({ whole, firstEvent }: Placement): Rejection | undefined {
+        const { attempts, relay, dependencies, admission, patienceLeft } = this.progress;
+        if (relay.hasStarted) {
             return undefined;
         }
-        const stop = attempts.taken === 0 ? parts.stop() : undefined;
-        return (stop && rejectBeforeStop(whole, parts.clock.now(), stop))
-            ?? rejectHopeless(admission.route, firstEvent, patienceLeft);
+        const stop = attempts.countedAttempts === 0 ? dependencies.plannedStop() : undefined;
+        return (stop && rejectUnfinishedAtStop(whole, dependencies.clock.now(), stop))
+            ?? rejectLateFirstEvent(admission.route, firstEvent, patienceLeft);
     }
 
-    /** Whether its first event would still come before the caller gives up, if it were sent after a pause. */
-    private canWait({ firstEvent }: Placement): boolean {
-        return postponedCaution * firstEvent + memoryPauseAtMost < this.progress.patienceLeft;
+    /**
+     * Whether the first event would still arrive within the patience of the caller if the request were sent after one more
+     * delay.
+     */
+    private canPostpone({ firstEvent }: Placement): boolean {
+        return postponedPredictionFactor * firstEvent + maximumMemoryRetryDelay < this.progress.patienceLeft;
     }
 
     private async postpone(firstEvent: Milliseconds | undefined): Promise<void> {
         if (!this.wasPostponed) {
             this.wasPostponed = true;
-            this.progress.parts.metrics.count("postponed_total");
-            this.progress.note("Postponed.", undefined, {
+            this.progress.dependencies.metrics.count("postponed_total");
+            this.progress.log("Postponed.", undefined, {
                 promptTokens: this.progress.request.size?.promptTokens,
                 predicted: firstEvent && Math.round(firstEvent),
             });
         }
-        await this.progress.pauseForMemory();
+        await this.progress.waitBeforeMemoryRetry();
     }
 }
--- a/src/core/forwarding/forwarder.ts
+++ b/src/core/forwarding/forwarder.ts
@@ -1,93 +1,93 @@
-/** Forwards callers' requests: one task a request, from its head to the last byte of its answer. */
+/** Forwards the requests of callers. Each request has a task of its own, from its head to the last byte of its response. */
 import type { CallerExchange } from "../../ports/forwardingPorts.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import { Execution, FailureKind, RequestFailure } from "../failures.js";
 import { admit } from "./admission.js";
-import type { ForwardingParts } from "./forwardingParts.js";
+import type { ForwardingDependencies } from "./forwardingDependencies.js";
 import { RequestTask } from "./requestTask.js";
 
-/** How long a request waits in a process that is about to know its configuration, and how often it looks. */
-const readyWithin: Milliseconds = 300;
-const readyLook: Milliseconds = 5;
-/** When to come back before the first list of endpoints is read. */
-const notListedRetrySeconds = 0.5;
+/** How long a request waits for an entry that is starting to become ready, and how often readiness is checked. */
+const readyTimeout: Milliseconds = 300;
+const readyPollInterval: Milliseconds = 5;
+/** Retry-After while this entry has not read the list of endpoints. */
+const endpointsUnknownRetrySeconds = 0.5;
 
-/** Serves callers' exchanges. */
+/** Serves the exchanges of callers. */
 export class Forwarder {
-    private readonly running = new Map<CallerExchange, string>();
+    private readonly requestIdByExchange = new Map<CallerExchange, string>();
 
-    constructor(private readonly parts: ForwardingParts) {}
+    constructor(private readonly dependencies: ForwardingDependencies) {}
 
-    /** Whether requests can be placed: configuration and endpoints are known. */
-    get ready(): boolean {
-        return this.parts.configuration.routes !== undefined && this.parts.directory.ready;
+    /** Whether requests can be placed, which takes a configuration and the list of endpoints. */
+    get isReady(): boolean {
+        return this.dependencies.configuration.routes !== undefined && this.dependencies.directory.ready;
     }
 
-    /** Requests that are being served. */
-    get active(): number {
-        return this.running.size;
+    /** Number of requests in progress. */
+    get activeCount(): number {
+        return this.requestIdByExchange.size;
     }
 
-    /** Identifiers of these requests. */
-    get inProgress(): string[] {
-        return [...this.running.values()];
+    /** Identifiers of the requests in progress. */
+    get activeRequestIds(): string[] {
+        return [...this.requestIdByExchange.values()];
     }
 
     /** Serves one request to its end. Never rejects. */
     async serve(exchange: CallerExchange): Promise<void> {
-        this.running.set(exchange, exchange.head.id);
+        this.requestIdByExchange.set(exchange, exchange.head.id);
         try {
             await this.forward(exchange);
         }
         catch (error) {
-            this.fail(exchange, error);
+            this.handleError(exchange, error);
         }
         finally {
-            this.running.delete(exchange);
+            this.requestIdByExchange.delete(exchange);
         }
     }
 
     private async forward(exchange: CallerExchange): Promise<void> {
-        const { configuration, directory, random, repeats, metrics } = this.parts;
-        await this.untilReady(exchange);
+        const { configuration, directory, random, retryBudget, metrics } = this.dependencies;
+        await this.waitUntilReady(exchange);
         const admission = admit(exchange.head, configuration.routes, random);
         if (!directory.ready) {
-            const detail = "this entry has not learned its endpoints yet";
-            throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, notListedRetrySeconds);
+            const detail = "this entry has not received its list of endpoints yet";
+            throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, endpointsUnknownRetrySeconds);
         }
-        repeats.recordRequest(admission.service.name);
+        retryBudget.recordRequest(admission.service.name);
         metrics.count("requests_total", `kind="${admission.route.kind}"`);
         const limits = configuration.routes!.configuration.limits;
         const body = await exchange.readBody(limits.bodyBytes);
-        await new RequestTask(this.parts, exchange, { ...exchange.head, body }, admission).run();
+        await new RequestTask(this.dependencies, exchange, { ...exchange.head, body }, admission).run();
     }
 
     /**
-     * A process that has just started knows within milliseconds what to do with a request, unless the store is away. Callers
-     * that are let in already would lose their first try to a refusal.
+     * Waits until this entry is ready. A started process receives its configuration and endpoints within milliseconds unless
+     * the store is unavailable, and a failure in the meantime would cost each caller its first attempt.
      */
-    private async untilReady(exchange: CallerExchange): Promise<void> {
-        const { clock, reads } = this.parts;
-        const until = clock.now() + readyWithin;
-        while (!this.ready && reads() && clock.now() < until && !exchange.disconnected.aborted) {
-            await clock.sleep(readyLook);
+    private async waitUntilReady(exchange: CallerExchange): Promise<void> {
+        const { clock, isStoreReachable } = this.dependencies;
+        const deadline = clock.now() + readyTimeout;
+        while (!this.isReady && isStoreReachable() && clock.now() < deadline && !exchange.disconnected.aborted) {
+            await clock.sleep(readyPollInterval);
         }
     }
 
-    private fail(exchange: CallerExchange, error: unknown): void {
+    private handleError(exchange: CallerExchange, error: unknown): void {
         if (exchange.disconnected.aborted) {
-            this.parts.metrics.count("callers_left_total");
-            const elapsed = Math.round(this.parts.clock.now() - exchange.head.arrivedAt);
-            this.parts.log.info("The caller has left.", { requestId: exchange.head.id, elapsed });
+            this.dependencies.metrics.count("callers_left_total");
+            const elapsed = Math.round(this.dependencies.clock.now() - exchange.head.arrivedAt);
+            this.dependencies.log.info("The caller has left.", { requestId: exchange.head.id, elapsed });
             return;
         }
         const failure = error instanceof RequestFailure
             ? error
             : new RequestFailure(FailureKind.Internal, Execution.Unknown, String(error));
-        this.parts.metrics.count("failures_total", `kind="${failure.kind}"`);
-        this.parts.log.warn("A request failed.", {
+        this.dependencies.metrics.count("failures_total", `kind="${failure.kind}"`);
+        this.dependencies.log.warn("A request failed.", {
             requestId: exchange.head.id,
-            elapsed: Math.round(this.parts.clock.now() - exchange.head.arrivedAt),
+            elapsed: Math.round(this.dependencies.clock.now() - exchange.head.arrivedAt),
             promptTokens: exchange.head.size?.promptTokens,
             kind: failure.kind,
             execution: failure.execution,
--- a/src/core/forwarding/forwardingParts.ts
+++ b/src/core/forwarding/forwardingDependencies.ts
@@ -1,4 +1,4 @@
-/** What forwarding works with. */
+/** The components that forwarding depends on. */
 import type { EndpointPort } from "../../ports/forwardingPorts.js";
 import type { MemoryPort } from "../../ports/memoryPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
@@ -14,34 +14,34 @@
 import type { PlacementClient } from "../placement/placementClient.js";
 import type { SharedLoadEstimator } from "../placement/sharedLoadEstimator.js";
 
-/** A planned stop of this entry, on the local clock. */
+/** A planned stop of this entry. Times are on the local clock. */
 export interface PlannedStop {
-    begunAt: Milliseconds;
-    /** When what is left is cut. */
+    startedAt: Milliseconds;
+    /** When the requests still in progress are cut. */
     endsAt: Milliseconds;
 }
 
-/** The parts. */
-export interface ForwardingParts {
+/** Everything that a request task needs. */
+export interface ForwardingDependencies {
     clock: Clock;
     random: Random;
     log: PartLog;
     configuration: ActiveConfiguration;
     directory: EndpointDirectory;
-    endpoints: EndpointPort;
-    memory: MemoryPort;
-    placing: PlacementClient;
-    loads: SharedLoadEstimator;
-    failures: FailureTracker;
-    repeats: SharedRetryBudget;
-    cold: ColdBudget;
-    limits: EndpointLimits;
+    endpointPort: EndpointPort;
+    memoryPort: MemoryPort;
+    placementClient: PlacementClient;
+    loadEstimator: SharedLoadEstimator;
+    failureTracker: FailureTracker;
+    retryBudget: SharedRetryBudget;
+    coldBudget: ColdBudget;
+    endpointLimits: EndpointLimits;
     metrics: Metrics;
-    /** Name of this entry, and its data centre. */
-    entry: string;
+    /** Identifier of this entry. */
+    entryId: string;
     dataCentre: string;
-    /** Whether the store answers this entry. */
-    reads: () => boolean;
-    /** Undefined while this entry isn't stopping. */
-    stop: () => PlannedStop | undefined;
+    /** Whether the store responds to this entry. */
+    isStoreReachable: () => boolean;
+    /** The planned stop; undefined while this entry isn't stopping. */
+    plannedStop: () => PlannedStop | undefined;
 }
--- a/src/core/forwarding/memoryHold.ts
+++ b/src/core/forwarding/memoryHold.ts
@@ -1,9 +1,9 @@
 /**
- * Memory set aside on several endpoints for one prompt that is larger than the memory of one.
+ * Reserves memory on several endpoints for one prompt that exceeds the memory of one engine.
  *
- * Two entries that each hold half of what they need would wait for one another for good. All is gathered at once without
- * waiting, and given back when any part is missing; whoever failed tries again after a random pause. An entry that dies
- * leaves nothing behind: each hold is short and renewed only while its request runs, so the endpoint frees it by itself.
+ * All reservations are requested at once and released when any of them fails, because two entries that each held half of what
+ * they need would deadlock. A failed request tries again after a random delay. Reservations are short leases that are renewed
+ * only while the request runs, so endpoints free the memory of an entry that dies.
  */
 import type { MemoryPort, MemoryReservation } from "../../ports/memoryPort.js";
 import { ReservationResult } from "../../ports/memoryPort.js";
@@ -12,108 +12,114 @@
 import { abortQuietly } from "../../utils/signal.js";
 
 /**
- * How long an endpoint keeps memory that isn't renewed. Endpoints may carry out an unanswered order seconds later, after
- * the memory was given back; what comes back this way is gone again within this time.
+ * Lease of a reservation that is not renewed. An endpoint may carry out a reservation whose response was lost seconds later,
+ * after its release; this lease bounds how long such a reservation lasts.
  */
-const holdTime: Milliseconds = 1_900;
-/** Two renewals in a row may be lost. */
+const reservationDuration: Milliseconds = 1_900;
+/** Interval between renewals; the lease survives the loss of two renewals in a row. */
 const renewInterval: Milliseconds = 600;
-/** An endpoint answers within a few milliseconds; one that doesn't is not worth a longer wait. */
-const answerAtMost: Milliseconds = 400;
-/** Memory is given back in so many tries; after that it lapses. */
-const releaseTries = 3;
+/** Endpoints respond within a few milliseconds; a longer wait for one that does not is not worth its delay. */
+const responseTimeout: Milliseconds = 400;
+/** After this many failed release attempts the lease expires by itself. */
+const maximumReleaseAttempts = 3;
 
-/** What holding memory needs. */
-export interface MemoryHoldParts {
+/** Dependencies of {@link MemoryHold}. */
+export interface MemoryHoldDependencies {
     clock: Clock;
     log: PartLog;
-    memory: MemoryPort;
+    memoryPort: MemoryPort;
 }
 
-/** The memory of one send. */
+/** The memory that is reserved for one attempt. */
 export class MemoryHold {
-    private readonly ending = new AbortController();
+    private readonly releaseController = new AbortController();
 
     private constructor(
-        private readonly parts: MemoryHoldParts,
-        private readonly shares: readonly MemoryReservation[],
+        private readonly dependencies: MemoryHoldDependencies,
+        private readonly reservations: readonly MemoryReservation[],
         private readonly requestId: string,
     ) {}
 
-    /** Sets all of `shares` aside. When any of them can't be had, nothing is held, and the endpoints at fault are told. */
-    static async gather(
-        parts: MemoryHoldParts,
-        shares: readonly MemoryReservation[],
+    /** Reserves all of `reservations`. When any of them fails, all are released and the endpoints that failed are returned. */
+    static async acquire(
+        dependencies: MemoryHoldDependencies,
+        reservations: readonly MemoryReservation[],
         requestId: string,
-    ): Promise<{ hold: MemoryHold; } | { lacking: string[]; }> {
-        const hold = new MemoryHold(parts, shares, requestId);
-        const answers = await Promise.all(shares.map(share => hold.reserve(share)));
-        if (answers.every(answer => answer === ReservationResult.Held)) {
-            void hold.renew();
+    ): Promise<{ hold: MemoryHold; } | { endpointsWithoutMemory: string[]; }> {
+        const hold = new MemoryHold(dependencies, reservations, requestId);
+        const results = await Promise.all(reservations.map(reservation => hold.reserve(reservation)));
+        if (results.every(result => result === ReservationResult.Held)) {
+            void hold.renewPeriodically();
             return { hold };
         }
-        parts.log.info("Memory can't be set aside.", {
+        dependencies.log.info("Memory can't be set aside.", {
             requestId,
-            shares: shares.map(({ endpoint, tokens }, index) => ({
+            shares: reservations.map(({ endpoint, tokens }, index) => ({
                 endpoint: endpoint.id,
                 tokens,
-                answer: answers[index],
+                answer: results[index],
             })),
         });
-        // An order without an answer may have been carried out.
-        hold.release(share => answers[shares.indexOf(share)] !== ReservationResult.Refused);
-        const held = (index: number) => answers[index] === ReservationResult.Held;
-        return { lacking: shares.flatMap(({ endpoint }, index) => held(index) ? [] : [endpoint.id]) };
+        // A reservation without a response may have been carried out.
+        hold.release(reservation => results[reservations.indexOf(reservation)] !== ReservationResult.Refused);
+        const isHeld = (index: number) => results[index] === ReservationResult.Held;
+        return {
+            endpointsWithoutMemory: reservations.flatMap(({ endpoint }, index) => isHeld(index) ? [] : [endpoint.id]),
+        };
     }
 
-    /** Gives the memory back. */
-    release(held: (share: MemoryReservation) => boolean = () => true): void {
-        abortQuietly(this.ending);
-        for (const share of this.shares.filter(held)) {
-            void this.giveBack(share);
+    /** Releases the reservations for which `mayBeHeld` is true. */
+    release(mayBeHeld: (reservation: MemoryReservation) => boolean = () => true): void {
+        abortQuietly(this.releaseController);
+        for (const reservation of this.reservations.filter(mayBeHeld)) {
+            void this.releaseReservation(reservation);
         }
     }
 
-    private reserve(share: MemoryReservation): Promise<ReservationResult> {
-        return this.parts.memory.reserve(share, holdTime, answerAtMost);
+    private reserve(reservation: MemoryReservation): Promise<ReservationResult> {
+        return this.dependencies.memoryPort.reserve(reservation, reservationDuration, responseTimeout);
     }
 
-    private async renew(): Promise<void> {
-        const { signal } = this.ending;
+    private async renewPeriodically(): Promise<void> {
+        const { signal } = this.releaseController;
         for (;;) {
-            await this.parts.clock.sleep(renewInterval, signal);
+            await this.dependencies.clock.sleep(renewInterval, signal);
             if (signal.aborted) {
                 return;
             }
-            for (const share of this.shares) {
-                void this.renewOne(share);
+            for (const reservation of this.reservations) {
+                void this.renewReservation(reservation);
             }
         }
     }
 
-    private async renewOne(share: MemoryReservation): Promise<void> {
-        const answer = await this.reserve(share);
-        if (this.ending.signal.aborted) {
-            // The renewal may have arrived behind the release.
-            await this.giveBack(share);
+    private async renewReservation(reservation: MemoryReservation): Promise<void> {
+        const result = await this.reserve(reservation);
+        if (this.releaseController.signal.aborted) {
+            // The endpoint may have received the renewal after the release.
+            await this.releaseReservation(reservation);
             return;
         }
-        if (answer !== ReservationResult.Held) {
+        if (result !== ReservationResult.Held) {
             const { requestId } = this;
-            this.parts.log.info("Memory can't be renewed.", { requestId, endpoint: share.endpoint.id, answer });
+            this.dependencies.log.info("Memory can't be renewed.", {
+                requestId,
+                endpoint: reservation.endpoint.id,
+                answer: result,
+            });
         }
     }
 
-    private async giveBack(share: MemoryReservation): Promise<void> {
-        for (let tries = 0; tries < releaseTries; tries++) {
-            if (await this.parts.memory.release(share, answerAtMost)) {
+    private async releaseReservation(reservation: MemoryReservation): Promise<void> {
+        for (let attempt = 0; attempt < maximumReleaseAttempts; attempt++) {
+            if (await this.dependencies.memoryPort.release(reservation, responseTimeout)) {
                 return;
             }
         }
-        this.parts.log.warn("Memory can't be given back; it lapses.", {
+        this.dependencies.log.warn("Memory can't be given back; it lapses.", {
             requestId: this.requestId,
-            endpoint: share.endpoint.id,
-            lapsesIn: holdTime,
+            endpoint: reservation.endpoint.id,
+            lapsesIn: reservationDuration,
         });
     }
 }
--- a/src/core/forwarding/overload.ts
+++ b/src/core/forwarding/overload.ts
@@ -1,74 +1,85 @@
 /**
- * Which requests are turned away at once, and when their callers should come back.
+ * Decides which requests are rejected at once, and when their callers should retry.
  *
- * Load pattern: more arrives than the endpoints can do, or this entry is about to stop. Work that nobody will wait for
- * only holds up others, and a caller who is told at once can ask again in time.
+ * Load pattern: more requests arrive than the endpoints can serve, or this entry is about to stop. A request that its caller
+ * would give up only delays others, and a caller that is rejected at once can retry in time.
  */
 import { RequestKind, type Route } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import { FailureKind } from "../failures.js";
-import type { PlannedStop } from "./forwardingParts.js";
+import type { PlannedStop } from "./forwardingDependencies.js";
 
-/** When to come back after an endpoint was too busy: the time of a few short requests. */
+/** Retry-After when an endpoint was too busy: the time of a few short requests. */
 export const busyRetrySeconds = 0.25;
-/** When to come back while a service has no endpoint that may get work: about a heartbeat of the endpoints. */
+/** Retry-After while a service has no usable endpoint: about one heartbeat interval of the endpoints. */
 export const noEndpointRetrySeconds = 1;
-/** When to come back to another entry: at once, but not in step with all others. */
+/** Retry-After for a retry at another entry: almost at once, but not in step with all other callers. */
 const stoppingRetrySeconds = 0.1;
-/** Callers wait for an event for the longest of: a time, so many targets of the first event, so many of pauses. */
-const patienceAtLeast: Milliseconds = 2_000;
-const patienceTargets = 4;
-const patienceGaps = 8;
 /**
- * A balancer still sends callers for so long after an entry has said that it stops: two questions a second apart, and the
- * third one's answer.
+ * Callers wait for the next event for the longest of a minimum, a multiple of the first-event target and a multiple of the
+ * inter-event gap target.
  */
-const balancerLag: Milliseconds = 3_000;
+const minimumPatience: Milliseconds = 2_000;
+const patienceTargetFactor = 4;
+const patienceGapFactor = 8;
 /**
- * Factor on the prediction of a whole answer, which takes the longest answer that was asked for. Later in a stop it is
- * doubled, as pauses grow with reads beside it. While the balancer still sends, most of the grace is left, and callers
- * that are refused may meet the next stopping entry.
+ * How long a balancer still routes callers to an entry that reports that it is stopping: two health checks one second apart,
+ * and the response to a third.
  */
-const earlyStopCaution = 1;
-const lateStopCaution = 2;
+const balancerReactionTime: Milliseconds = 3_000;
+/**
+ * Safety factors on the predicted duration of a response, which assumes the longest response that the request allows. The
+ * factor doubles later in a stop, because inter-event gaps grow while long prompts are prefilled beside a stream. While the
+ * balancer still routes callers to this entry, most of the grace period is left, and rejected callers may reach the next
+ * stopping entry.
+ */
+const earlyStopPredictionFactor = 1;
+const lateStopPredictionFactor = 2;
 
-/** Why a request is turned away, and when its caller should come back. */
+/** Why a request is rejected, and when its caller should retry. */
 export interface Rejection {
     kind: FailureKind;
     detail: string;
     retryAfterSeconds: number;
 }
 
-/** How long callers of a route wait for the next event, or for a plain answer. */
-export const patienceOf = (route: Route): Milliseconds =>
+/** How long callers of a route wait for the next event, or for a response that isn't streamed. */
+export const callerPatience = (route: Route): Milliseconds =>
     route.kind === RequestKind.Streaming
-        ? Math.max(patienceAtLeast, patienceTargets * route.targetLatency, patienceGaps * (route.targetGap ?? 0))
+        ? Math.max(
+            minimumPatience,
+            patienceTargetFactor * route.targetLatency,
+            patienceGapFactor * (route.targetGap ?? 0),
+        )
         : route.timeout;
 
 /**
- * A stopping entry may still get requests, when all entries of its data centre stop and the balancer knows no other. One
- * that can't end before this entry does would be cut in the middle; refused at once, its caller finds another entry.
+ * Rejects a request that would not end before this entry stops. A stopping entry still receives requests when all entries of
+ * its data centre stop and the balancer knows no other. Such a request would be cut midway, while a caller that is rejected at
+ * once finds another entry.
  */
-export const rejectBeforeStop = (
-    whole: Milliseconds,
+export const rejectUnfinishedAtStop = (
+    predictedDuration: Milliseconds,
     now: Milliseconds,
     stop: PlannedStop,
 ): Rejection | undefined => {
-    const caution = now - stop.begunAt < balancerLag ? earlyStopCaution : lateStopCaution;
-    return now + caution * whole > stop.endsAt
+    const predictionFactor = now - stop.startedAt < balancerReactionTime
+        ? earlyStopPredictionFactor
+        : lateStopPredictionFactor;
+    return now + predictionFactor * predictedDuration > stop.endsAt
         ? {
             kind: FailureKind.Stopping,
-            detail: "this entry stops before the answer could be whole",
+            detail: "this entry stops before the response would be complete",
             retryAfterSeconds: stoppingRetrySeconds,
         }
         : undefined;
 };
 
 /**
- * Callers give a stream up when its first event takes too long. Work that would be given up before it begins is refused
- * at once; its caller comes back when what it would have waited for is done.
+ * Rejects a stream whose first event would arrive after its caller gives up. The caller should retry once the work that it
+ * would have waited for is done.
  */
-export const rejectHopeless = (
+export const rejectLateFirstEvent = (
     route: Route,
     firstEvent: Milliseconds,
     patienceLeft: Milliseconds,
@@ -76,27 +87,28 @@
     if (route.kind !== RequestKind.Streaming || firstEvent <= patienceLeft) {
         return undefined;
     }
-    const comeBack = Math.max(busyRetrySeconds, (firstEvent - route.targetLatency) / 1_000);
+    const retryDelaySeconds = Math.max(busyRetrySeconds, (firstEvent - route.targetLatency) / 1_000);
     return {
         kind: FailureKind.Overloaded,
-        detail: `the first event would take ${Math.round(firstEvent)} ms`,
-        retryAfterSeconds: Math.round(comeBack * 100) / 100,
+        detail: `the first event is predicted to take ${Math.round(firstEvent)} ms, longer than the caller waits`,
+        retryAfterSeconds: Math.round(retryDelaySeconds * 100) / 100,
     };
 };
 
 /**
- * The answer where no endpoint of `service` may get the request. `roomIn` is when one that takes no more from this entry now
- * will take another; callers don't wait for longer than where there is none at all, as another entry may have room before.
+ * Creates the rejection for a request when no endpoint of `service` is usable. `timeUntilCapacity` is when an endpoint that is
+ * at its limit for this entry accepts the next request. Callers wait no longer than without any endpoint, since another entry
+ * may have capacity earlier.
  */
-export const rejectWithoutEndpoint = (service: string, roomIn: Milliseconds | undefined): Rejection => {
-    if (roomIn === undefined) {
-        const detail = `no endpoint of ${service} may get work`;
+export const rejectWithoutEndpoint = (service: string, timeUntilCapacity: Milliseconds | undefined): Rejection => {
+    if (timeUntilCapacity === undefined) {
+        const detail = `no endpoint of ${service} is usable`;
         return { kind: FailureKind.NoEndpoint, detail, retryAfterSeconds: noEndpointRetrySeconds };
     }
-    const comeBack = Math.min(noEndpointRetrySeconds, Math.max(busyRetrySeconds, roomIn / 1_000));
+    const retryDelaySeconds = Math.min(noEndpointRetrySeconds, Math.max(busyRetrySeconds, timeUntilCapacity / 1_000));
     return {
         kind: FailureKind.NoEndpoint,
-        detail: `the endpoints of ${service} take no more requests now`,
-        retryAfterSeconds: Math.round(comeBack * 100) / 100,
+        detail: `the endpoints of ${service} accept no more requests from this entry now`,
+        retryAfterSeconds: Math.round(retryDelaySeconds * 100) / 100,
     };
 };
--- a/src/core/forwarding/requestProgress.ts
+++ b/src/core/forwarding/requestProgress.ts
@@ -1,4 +1,4 @@
-/** How far one request has come: its sends, its stream, the time that is left, and how it fails. */
+/** Holds the state that the steps of one request share: its attempts, its stream, its remaining time and its failures. */
 import type { CallerExchange, ForwardedRequest } from "../../ports/forwardingPorts.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import { abortQuietly } from "../../utils/signal.js";
@@ -6,82 +6,82 @@
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { Admission } from "./admission.js";
 import { Attempts } from "./attempts.js";
-import type { ForwardingParts } from "./forwardingParts.js";
-import { patienceOf } from "./overload.js";
+import type { ForwardingDependencies } from "./forwardingDependencies.js";
+import { callerPatience } from "./overload.js";
 import { StreamRelay } from "./streamRelay.js";
 
-/** An order needs at least this much time to be worth sending. */
-const leastTimeToSend: Milliseconds = 20;
+/** With less time than this left, an attempt is not worth sending. */
+const minimumTimeToSend: Milliseconds = 20;
 /**
- * Pause before memory is asked for again: random, so that two entries that took it from one another don't meet again.
- * About the time in which a prompt of usual length is read.
+ * Delay before memory is requested again: about the time that an engine takes to prefill a prompt of usual length. The jitter
+ * keeps two entries that took memory from each other from colliding again.
  */
-const memoryPauseAtLeast: Milliseconds = 50;
-const memoryPauseSpread: Milliseconds = 150;
-/** The longest pause. */
-export const memoryPauseAtMost: Milliseconds = memoryPauseAtLeast + memoryPauseSpread;
+const minimumMemoryRetryDelay: Milliseconds = 50;
+const memoryRetryJitter: Milliseconds = 150;
+/** The longest such delay. */
+export const maximumMemoryRetryDelay: Milliseconds = minimumMemoryRetryDelay + memoryRetryJitter;
 
-/** What the steps of one request share. */
+/** State of one request. */
 export class RequestProgress {
     readonly attempts = new Attempts();
     readonly relay: StreamRelay;
-    private readonly ending = new AbortController();
+    private readonly endController = new AbortController();
 
     constructor(
-        readonly parts: ForwardingParts,
+        readonly dependencies: ForwardingDependencies,
         readonly exchange: CallerExchange,
         readonly request: ForwardedRequest,
         readonly admission: Admission,
     ) {
-        this.relay = new StreamRelay(parts.clock, parts.metrics, exchange);
+        this.relay = new StreamRelay(dependencies.clock, dependencies.metrics, exchange);
     }
 
-    /** Aborts when the request ends in whatever way. */
+    /** Aborts when the request ends, whether it succeeded or not. */
     get ended(): AbortSignal {
-        return this.ending.signal;
+        return this.endController.signal;
     }
 
     end(): void {
-        abortQuietly(this.ending);
+        abortQuietly(this.endController);
     }
 
     get timeLeft(): Milliseconds {
-        return this.admission.deadline - this.parts.clock.now();
+        return this.admission.deadline - this.dependencies.clock.now();
     }
 
-    get waited(): Milliseconds {
-        return this.parts.clock.now() - this.request.arrivedAt;
+    get timeSinceArrival(): Milliseconds {
+        return this.dependencies.clock.now() - this.request.arrivedAt;
     }
 
     /** How much longer the caller waits for the next event. */
     get patienceLeft(): Milliseconds {
-        return Math.min(patienceOf(this.admission.route) - this.relay.sinceLastEvent, this.timeLeft);
+        return Math.min(callerPatience(this.admission.route) - this.relay.timeSinceLastEvent, this.timeLeft);
     }
 
-    /** Whether the request may go to one more endpoint. */
-    maySendAgain(mayRunAgain = this.admission.repeatable || !this.attempts.mayHaveRun): boolean {
-        return this.attempts.taken < this.admission.route.attempts
+    /** Whether the request may be sent once more. */
+    mayRetry(mayRunAgain = this.admission.isRetryable || !this.attempts.mayHaveRun): boolean {
+        return this.attempts.countedAttempts < this.admission.route.attempts
             && mayRunAgain
-            && this.timeLeft > leastTimeToSend;
+            && this.timeLeft > minimumTimeToSend;
     }
 
-    /** A random pause before memory is asked for again. */
-    pauseForMemory(): Promise<void> {
-        const { clock, random } = this.parts;
-        return clock.sleep(memoryPauseAtLeast + random.next() * memoryPauseSpread, this.ended);
+    /** Waits a random delay before memory is requested again. */
+    waitBeforeMemoryRetry(): Promise<void> {
+        const { clock, random } = this.dependencies;
+        return clock.sleep(minimumMemoryRetryDelay + random.next() * memoryRetryJitter, this.ended);
     }
 
-    /** A failure that promises "not run" only when that is certain. */
-    failure(kind: FailureKind, detail: string, retryAfterSeconds: number): RequestFailure {
+    /** Creates a failure that reports "not run" only when the request certainly has not run. */
+    createFailure(kind: FailureKind, detail: string, retryAfterSeconds: number): RequestFailure {
         return this.attempts.mayHaveRun
             ? new RequestFailure(FailureKind.OutcomeUnknown, Execution.Unknown, detail)
             : new RequestFailure(kind, Execution.NotRun, detail, retryAfterSeconds);
     }
 
-    /** Throws when the caller has left or its time is over. */
-    checkTime(): void {
+    /** Throws when the caller has disconnected or the deadline has passed. */
+    throwIfEnded(): void {
         if (this.ended.aborted || this.timeLeft <= 0) {
-            const execution = this.attempts.taken === 0 ? Execution.NotRun : Execution.Unknown;
+            const execution = this.attempts.countedAttempts === 0 ? Execution.NotRun : Execution.Unknown;
             const detail = this.exchange.disconnected.aborted
                 ? "the caller has left"
                 : "the time for this request is over";
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Logs one line of this request. */
-    note(message: string, endpoint: KnownEndpoint | undefined, fields: Record<string, unknown>): void {
-        this.parts.log.info(message, {
+    /** Logs one message about this request. */
+    log(message: string, endpoint: KnownEndpoint | undefined, fields: Record<string, unknown>): void {
+        this.dependencies.log.info(message, {
             requestId: this.request.id,
             endpoint: endpoint?.record.id,
-            send: this.attempts.taken,
-            elapsed: Math.round(this.parts.clock.now() - this.request.arrivedAt),
+            send: this.attempts.countedAttempts,
+            elapsed: Math.round(this.dependencies.clock.now() - this.request.arrivedAt),
             ...fields,
         });
     }
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -1,4 +1,4 @@
-/** One request: chosen endpoints one after the other, until one answers or the request can't be sent again. */
+/** Runs one request: sends it to one endpoint after another until one responds or no further attempt is allowed. */
 import type {
     CallerExchange,
     ForwardedRequest,
@@ -6,7 +6,7 @@
     ResponseHead,
     StreamEvent,
 } from "../../ports/forwardingPorts.js";
-import { RefusalReason, StreamBrokenError, StreamSilentError } from "../../ports/forwardingPorts.js";
+import { RefusalReason, StreamBrokenError, StreamStalledError } from "../../ports/forwardingPorts.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import { describeError } from "../../utils/errors.js";
 import { FailureKind } from "../failures.js";
@@ -14,236 +14,253 @@
 import type { Placement } from "../placement/endpointSelector.js";
 import type { Admission } from "./admission.js";
 import { EndpointSearch } from "./endpointSearch.js";
-import type { ForwardingParts } from "./forwardingParts.js";
-import { busyRetrySeconds, noEndpointRetrySeconds, patienceOf } from "./overload.js";
+import type { ForwardingDependencies } from "./forwardingDependencies.js";
+import { busyRetrySeconds, callerPatience, noEndpointRetrySeconds } from "./overload.js";
 import { RequestProgress } from "./requestProgress.js";
 import { type DispatchOutcome, Sender } from "./sender.js";
 
 /**
- * Part of a caller's patience after which a silent endpoint is left: late enough for predictions that are off by a few
- * times, early enough for another endpoint to answer before the caller gives up.
+ * Fraction of the caller's patience after which a stalled endpoint is abandoned. It is long enough for predictions that are too
+ * low by a few times, and leaves another endpoint enough time to respond before the caller gives up.
  */
-const silentPart = 0.5;
-/** Predictions are passed by less than this in all but a few cases, so a longer silence says that something is wrong. */
-const silenceCaution = 3;
+const stallPatienceFraction = 0.5;
+/** In all but a few cases an event arrives within this multiple of its prediction, so a longer wait indicates a fault. */
+const stallPredictionFactor = 3;
 const firstFailureStatus = 500;
-/** An endpoint that is busy for longer than a few passes has a reason to be silent. */
-const quietAtMost: Milliseconds = 200;
+/** An endpoint with estimated prefill work for longer than this, a few engine passes, is expected to send nothing. */
+const maximumBusyDuration: Milliseconds = 200;
 
-interface KeptAnswer {
+interface BufferedResponse {
     head: ResponseHead;
     body: Buffer;
 }
 
-/** The work of forwarding one request. */
+/** Forwards one request. */
 export class RequestTask {
     private readonly progress: RequestProgress;
     private readonly search: EndpointSearch;
-    /** A repeat was taken from the budget when a silent endpoint was left. */
-    private repeatTaken = false;
-    /** An endpoint's own failure, to be passed on when no other send does better. */
-    private kept: KeptAnswer | undefined;
+    /** Whether a retry was taken from the budget when a stalled endpoint was abandoned. */
+    private hasReservedRetry = false;
+    /** The failure response of an endpoint, passed on when no other attempt succeeds. */
+    private failureResponse: BufferedResponse | undefined;
 
     constructor(
-        private readonly parts: ForwardingParts,
+        private readonly dependencies: ForwardingDependencies,
         exchange: CallerExchange,
         request: ForwardedRequest,
         admission: Admission,
     ) {
-        this.progress = new RequestProgress(parts, exchange, request, admission);
+        this.progress = new RequestProgress(dependencies, exchange, request, admission);
         this.search = new EndpointSearch(this.progress);
     }
 
-    /** Runs the request to its end. Throws {@link RequestFailure} when there is no answer to pass on. */
+    /** Runs the request to its end. Throws {@link RequestFailure} when there is no response to pass on. */
     async run(): Promise<void> {
-        const leave = () => this.progress.end();
-        this.progress.exchange.disconnected.addEventListener("abort", leave, { once: true });
-        const stopTimer = this.parts.clock.after(Math.max(0, this.progress.timeLeft), leave);
+        const end = () => this.progress.end();
+        this.progress.exchange.disconnected.addEventListener("abort", end, { once: true });
+        const stopTimer = this.dependencies.clock.after(Math.max(0, this.progress.timeLeft), end);
         try {
-            await this.sendUntilAnswered();
+            await this.sendUntilDone();
         }
         catch (error) {
-            this.finishWithout(error);
+            this.finishWithoutResponse(error);
         }
         finally {
             stopTimer();
-            leave();
+            end();
         }
     }
 
-    private async sendUntilAnswered(): Promise<void> {
+    private async sendUntilDone(): Promise<void> {
         for (;;) {
-            const placement = await this.search.next();
+            const placement = await this.search.nextPlacement();
             const outcome = await this.send(placement);
-            this.progress.checkTime();
-            if (await this.settle(placement.endpoint, outcome)) {
+            this.progress.throwIfEnded();
+            if (await this.handleOutcome(placement.endpoint, outcome)) {
                 return;
             }
         }
     }
 
-    /** Acts on an outcome and tells whether the request is done. */
-    private async settle(endpoint: KnownEndpoint, outcome: DispatchOutcome): Promise<boolean> {
+    /** Handles the outcome of an attempt and resolves with whether the request is done. */
+    private async handleOutcome(endpoint: KnownEndpoint, outcome: DispatchOutcome): Promise<boolean> {
         const { attempts } = this.progress;
         const { id } = endpoint.record;
         switch (outcome.type) {
             case "NoMemory":
-                this.parts.metrics.count("memory_lacking_total");
-                attempts.noteLacking(outcome.lacking);
-                await this.progress.pauseForMemory();
+                this.dependencies.metrics.count("memory_lacking_total");
+                attempts.recordMemoryShortage(outcome.endpointsWithoutMemory);
+                await this.progress.waitBeforeMemoryRetry();
                 return false;
             case "Unreached":
-                this.noteUnreached(endpoint, outcome.connectionRefused);
-                attempts.withdraw();
-                attempts.noteRefused(id);
-                this.progress.note("An endpoint can't be reached.", endpoint, { reason: outcome.reason });
-                this.passOver("no endpoint could be reached");
+                this.recordUnreached(endpoint, outcome.connectionRefused);
+                attempts.discountLast();
+                attempts.recordRefused(id);
+                this.progress.log("An endpoint can't be reached.", endpoint, { reason: outcome.reason });
+                this.throwIfOutOfPatience("no endpoint could be reached");
                 return false;
             case "Refused":
-                this.settleRefusal(endpoint, outcome);
+                this.handleRefusal(endpoint, outcome);
                 return false;
             case "Broken":
             case "Silent":
-                this.noteLost(endpoint, outcome.type === "Silent");
-                this.progress.note("An endpoint broke off.", endpoint, { reason: outcome.reason });
-                this.sendAgainOrFail(FailureKind.OutcomeUnknown, `the endpoint broke off: ${outcome.reason}`);
+                this.recordLost(endpoint, outcome.type === "Silent");
+                this.progress.log("An endpoint broke off.", endpoint, { reason: outcome.reason });
+                this.retryOrFail(
+                    FailureKind.OutcomeUnknown,
+                    `the endpoint failed before its response was complete: ${outcome.reason}`,
+                );
                 return false;
             case "Answered":
-                return this.passAnswer(endpoint, outcome);
+                return this.passResponse(endpoint, outcome);
             case "Streaming":
-                return this.passStream(endpoint, outcome.head, outcome.events);
+                return this.relayStream(endpoint, outcome.head, outcome.events);
         }
     }
 
-    private noteLost(endpoint: KnownEndpoint, silent: boolean): void {
-        const { failures, metrics } = this.parts;
-        if (silent) {
-            failures.recordSilent(endpoint);
+    private recordLost(endpoint: KnownEndpoint, isStalled: boolean): void {
+        const { failureTracker, metrics } = this.dependencies;
+        if (isStalled) {
+            failureTracker.recordSilent(endpoint);
         }
         else {
-            failures.recordLost(endpoint);
+            failureTracker.recordLost(endpoint);
         }
-        this.progress.attempts.noteBroken(endpoint.record.id);
+        this.progress.attempts.recordBroken(endpoint.record.id);
         metrics.count("endpoint_breaks_total");
     }
 
-    private noteUnreached(endpoint: KnownEndpoint, nobodyListens: boolean): void {
-        const { failures } = this.parts;
-        if (nobodyListens) {
-            failures.recordUnreachable(endpoint);
+    private recordUnreached(endpoint: KnownEndpoint, connectionRefused: boolean): void {
+        const { failureTracker } = this.dependencies;
+        if (connectionRefused) {
+            failureTracker.recordUnreachable(endpoint);
         }
         else {
-            failures.recordLost(endpoint);
+            failureTracker.recordLost(endpoint);
         }
     }
 
     /**
-     * Acts on a refusal by whose fault it is. An endpoint whose helper is gone refuses in its place; without a look at whom it
-     * names, the dead helper would be chosen again, and the attempts would be used up though no endpoint of the route was busy.
+     * Handles a refusal by the endpoint at fault. An endpoint whose helper is gone refuses in the helper's place and names it.
+     * If that name were ignored, the dead helper would be chosen again, and the attempts would be used up although no endpoint
+     * of the route was busy.
      */
-    private settleRefusal(endpoint: KnownEndpoint, outcome: Refusal): void {
-        const { directory, failures, metrics } = this.parts;
+    private handleRefusal(endpoint: KnownEndpoint, outcome: Refusal): void {
+        const { directory, failureTracker, metrics } = this.dependencies;
         const { attempts } = this.progress;
         const { id } = endpoint.record;
         const atFault = outcome.atFault === undefined ? undefined : directory.find(outcome.atFault);
         metrics.count("endpoint_refusals_total", `reason="${outcome.reason}"`);
-        this.progress.note("An endpoint refused.", endpoint, { reason: outcome.reason, atFault: outcome.atFault });
+        this.progress.log("An endpoint refused.", endpoint, { reason: outcome.reason, atFault: outcome.atFault });
         if (outcome.coldFor !== undefined) {
             directory.noteCold(id, outcome.coldFor);
         }
         if (atFault && atFault.record.id !== id) {
-            failures.recordLost(atFault);
-            attempts.withdraw();
-            attempts.noteRefused(atFault.record.id);
-            this.sendAgainOrFail(FailureKind.Overloaded, "an endpoint that was to help has gone");
+            failureTracker.recordLost(atFault);
+            attempts.discountLast();
+            attempts.recordRefused(atFault.record.id);
+            this.retryOrFail(FailureKind.Overloaded, "a helper endpoint of the chosen endpoint is gone");
             return;
         }
-        attempts.noteRefused(id);
+        attempts.recordRefused(id);
         if (outcome.reason === RefusalReason.WrongEndpoint) {
-            // The address belongs to another endpoint now, so the chosen one was never reached.
-            failures.recordLost(endpoint);
-            attempts.withdraw();
-            this.passOver("no listed endpoint was at its address");
+            // The address belongs to another endpoint now, so the chosen endpoint was never reached.
+            failureTracker.recordLost(endpoint);
+            attempts.discountLast();
+            this.throwIfOutOfPatience("the listed addresses belong to other endpoints");
             return;
         }
-        failures.recordFailed(id);
-        this.sendAgainOrFail(FailureKind.Overloaded, `the endpoint refused: ${outcome.reason}`);
+        failureTracker.recordFailed(id);
+        this.retryOrFail(FailureKind.Overloaded, `the endpoint refused the request: ${outcome.reason}`);
     }
 
-    private passAnswer(endpoint: KnownEndpoint, { head, body }: KeptAnswer): boolean {
-        const failed = head.status >= firstFailureStatus;
-        if (failed) {
-            this.parts.failures.recordFailed(endpoint.record.id);
-            this.progress.attempts.noteBroken(endpoint.record.id);
-            this.progress.note("An endpoint failed.", endpoint, { status: head.status });
-            this.kept = { head, body };
+    private passResponse(endpoint: KnownEndpoint, { head, body }: BufferedResponse): boolean {
+        const isFailure = head.status >= firstFailureStatus;
+        if (isFailure) {
+            this.dependencies.failureTracker.recordFailed(endpoint.record.id);
+            this.progress.attempts.recordBroken(endpoint.record.id);
+            this.progress.log("An endpoint failed.", endpoint, { status: head.status });
+            this.failureResponse = { head, body };
             if (
-                this.progress.maySendAgain() && this.parts.repeats.tryTake(this.progress.admission.service.name)
+                this.progress.mayRetry() && this.dependencies.retryBudget.tryTake(this.progress.admission.service.name)
             ) {
                 return false;
             }
         }
         else {
-            this.parts.failures.recordSucceeded(endpoint);
+            this.dependencies.failureTracker.recordSucceeded(endpoint);
         }
-        if (this.progress.relay.begun) {
-            throw new StreamBrokenError(`the endpoint answered ${head.status} where the stream goes on`);
+        if (this.progress.relay.hasStarted) {
+            throw new StreamBrokenError(
+                `expected the continuation of a stream, but the endpoint responded with status ${head.status}`,
+            );
         }
         this.progress.exchange.respond(head, body);
-        this.parts.metrics.observe(
+        this.dependencies.metrics.observe(
             "answer_milliseconds",
-            this.parts.clock.now() - this.progress.request.arrivedAt,
+            this.dependencies.clock.now() - this.progress.request.arrivedAt,
         );
-        this.progress.note("Answered.", endpoint, { status: head.status });
+        this.progress.log("Answered.", endpoint, { status: head.status });
         return true;
     }
 
-    private async passStream(
+    private async relayStream(
         endpoint: KnownEndpoint,
         head: ResponseHead,
         events: AsyncIterable<StreamEvent>,
     ): Promise<boolean> {
         this.progress.attempts.mayHaveRun = true;
         try {
-            await this.progress.relay.pass(
+            await this.progress.relay.relayEvents(
                 head,
                 events,
-                () => this.parts.loads.recordWriting(endpoint.record.id, this.progress.request.id),
+                () => this.dependencies.loadEstimator.recordWriting(endpoint.record.id, this.progress.request.id),
             );
         }
         catch (error) {
-            this.progress.checkTime();
-            this.noteLost(endpoint, error instanceof StreamSilentError);
-            this.progress.note("A stream broke off.", endpoint, {
-                lastEvent: this.progress.relay.lastEvent,
+            this.progress.throwIfEnded();
+            this.recordLost(endpoint, error instanceof StreamStalledError);
+            this.progress.log("A stream broke off.", endpoint, {
+                lastEvent: this.progress.relay.lastEventId,
                 reason: describeError(error),
             });
             if (!this.progress.relay.canContinue) {
                 throw error;
             }
-            this.sendAgainOrFail(FailureKind.OutcomeUnknown, `the stream broke off: ${describeError(error)}`);
+            this.retryOrFail(
+                FailureKind.OutcomeUnknown,
+                `the stream broke off before its end: ${describeError(error)}`,
+            );
             return false;
         }
-        this.parts.failures.recordSucceeded(endpoint);
+        this.dependencies.failureTracker.recordSucceeded(endpoint);
         this.progress.exchange.endStream();
-        const { lastEvent, firstEventAfter, longestPause } = this.progress.relay;
-        this.parts.metrics.observe("longest_pause_milliseconds", longestPause);
-        this.progress.note("Streamed.", endpoint, { status: head.status, lastEvent, firstEventAfter, longestPause });
+        const { lastEventId, firstEventAfter, longestPause } = this.progress.relay;
+        this.dependencies.metrics.observe("longest_pause_milliseconds", longestPause);
+        this.progress.log("Streamed.", endpoint, {
+            status: head.status,
+            lastEvent: lastEventId,
+            firstEventAfter,
+            longestPause,
+        });
         return true;
     }
 
     private async send(placement: Placement): Promise<DispatchOutcome> {
         const { endpoint, helpers, shares, firstEvent, slotWait, readWait, chosenBy } = placement;
         const { route } = this.progress.admission;
-        this.progress.relay.predicted = this.parts.clock.now() - this.progress.request.arrivedAt + firstEvent;
-        this.progress.attempts.begin();
-        this.parts.metrics.count(this.progress.attempts.tries > 1 ? "repeats_total" : "first_sends_total");
-        this.progress.note("Sent.", endpoint, {
+        this.progress.relay.predictedFirstEvent = this.dependencies.clock.now() - this.progress.request.arrivedAt
+            + firstEvent;
+        this.progress.attempts.recordStarted();
+        this.dependencies.metrics.count(
+            this.progress.attempts.startedCount > 1 ? "repeats_total" : "first_sends_total",
+        );
+        this.progress.log("Sent.", endpoint, {
             route: route.name,
-            version: this.progress.admission.version,
+            version: this.progress.admission.configurationVersion,
             target: route.targetLatency,
             targetGap: route.targetGap,
-            limitPerSecond: this.parts.limits.limitOf(endpoint.record.id),
+            limitPerSecond: this.dependencies.endpointLimits.limitOf(endpoint.record.id),
             promptTokens: this.progress.request.size?.promptTokens,
             helpers: helpers.length > 0 ? helpers.map(({ record }) => record.id) : undefined,
             reservations: shares.length,
@@ -253,78 +270,84 @@
             readWait: Math.round(readWait),
             timeLeft: Math.round(this.progress.timeLeft),
         });
-        const patience = silentPart * patienceOf(route);
-        return await Sender.send(this.parts, {
+        const patience = stallPatienceFraction * callerPatience(route);
+        return await Sender.send(this.dependencies, {
             placement,
             request: this.progress.request,
             admission: this.progress.admission,
-            number: this.progress.attempts.tries,
-            resumeAfter: this.progress.relay.lastEvent,
+            attemptNumber: this.progress.attempts.startedCount,
+            lastEventId: this.progress.relay.lastEventId,
             signal: this.progress.ended,
-            silence: {
-                first: Math.max(patience, silenceCaution * firstEvent),
-                later: patience,
-                mayLeave: () => this.mayLeave(endpoint),
+            stallPolicy: {
+                firstEventTimeout: Math.max(patience, stallPredictionFactor * firstEvent),
+                eventGapTimeout: patience,
+                mayAbandon: () => this.mayAbandon(endpoint),
             },
         });
     }
 
     /**
-     * Whether a silent endpoint is left: the request may run again, and another endpoint would answer before the caller gives
-     * up. Left for one that is as busy, it would only lose its place.
+     * Whether a stalled endpoint is abandoned: the request may run again, and another endpoint would respond before the caller
+     * gives up. Moving to an endpoint that is equally busy would only lose its place in the queue.
      */
-    private async mayLeave({ record }: KnownEndpoint): Promise<boolean> {
-        if (!this.progress.relay.canContinue || !this.progress.maySendAgain(this.progress.admission.repeatable)) {
+    private async mayAbandon({ record }: KnownEndpoint): Promise<boolean> {
+        if (!this.progress.relay.canContinue || !this.progress.mayRetry(this.progress.admission.isRetryable)) {
             return false;
         }
-        const { placement, busyFor } = await this.parts.placing.findAlternative(
+        const { placement, busyFor } = await this.dependencies.placementClient.findAlternative(
             this.search.placementRequest,
             record.id,
         );
-        // An endpoint that reads a long prompt is silent for a while, and no other would be quicker.
-        const worthLeaving = busyFor < quietAtMost && this.answersInTime(placement);
-        this.repeatTaken = worthLeaving && this.parts.repeats.tryTake(this.progress.admission.service.name);
-        return this.repeatTaken;
+        // An endpoint that prefills a long prompt sends nothing for a while, and no other endpoint would be faster.
+        const shouldAbandon = busyFor < maximumBusyDuration && this.respondsInTime(placement);
+        this.hasReservedRetry = shouldAbandon
+            && this.dependencies.retryBudget.tryTake(this.progress.admission.service.name);
+        return this.hasReservedRetry;
     }
 
-    private answersInTime(placement: Placement | undefined): boolean {
-        return placement !== undefined && !this.progress.attempts.broken.has(placement.endpoint.record.id)
+    private respondsInTime(placement: Placement | undefined): boolean {
+        return placement !== undefined && !this.progress.attempts.brokenEndpoints.has(placement.endpoint.record.id)
             && placement.firstEvent < this.progress.patienceLeft;
     }
 
-    /** Goes on to another endpoint, unless the caller will have given up before it could answer. */
-    private passOver(detail: string): void {
+    /** Throws when the caller will have given up before another endpoint could respond. */
+    private throwIfOutOfPatience(detail: string): void {
         if (this.progress.patienceLeft <= 0) {
-            throw this.progress.failure(FailureKind.NoEndpoint, detail, noEndpointRetrySeconds);
+            throw this.progress.createFailure(FailureKind.NoEndpoint, detail, noEndpointRetrySeconds);
         }
     }
 
-    private sendAgainOrFail(kind: FailureKind, detail: string): void {
-        const taken = this.repeatTaken;
-        this.repeatTaken = false;
+    private retryOrFail(kind: FailureKind, detail: string): void {
+        const hadReservedRetry = this.hasReservedRetry;
+        this.hasReservedRetry = false;
         if (
-            this.progress.maySendAgain()
-            && (taken || this.parts.repeats.tryTake(this.progress.admission.service.name))
+            this.progress.mayRetry()
+            && (hadReservedRetry || this.dependencies.retryBudget.tryTake(this.progress.admission.service.name))
         ) {
             return;
         }
-        throw this.progress.failure(kind, detail, busyRetrySeconds);
+        throw this.progress.createFailure(kind, detail, busyRetrySeconds);
     }
 
-    /** Ends a request for which no answer came: the last failure of an endpoint, a broken stream, or our own failure. */
-    private finishWithout(error: unknown): void {
-        if (this.progress.relay.begun) {
-            this.parts.metrics.count("streams_cut_total");
-            this.progress.note("A stream was cut.", undefined, {
-                lastEvent: this.progress.relay.lastEvent,
+    /**
+     * Ends a request without a successful response: cuts a started stream, passes an endpoint's failure response on, or
+     * rethrows `error`.
+     */
+    private finishWithoutResponse(error: unknown): void {
+        if (this.progress.relay.hasStarted) {
+            this.dependencies.metrics.count("streams_cut_total");
+            this.progress.log("A stream was cut.", undefined, {
+                lastEvent: this.progress.relay.lastEventId,
                 reason: describeError(error),
             });
             this.progress.exchange.abortStream();
             return;
         }
-        if (this.kept && !this.progress.exchange.disconnected.aborted) {
-            this.progress.exchange.respond(this.kept.head, this.kept.body);
-            this.progress.note("Answered with an endpoint's failure.", undefined, { status: this.kept.head.status });
+        if (this.failureResponse && !this.progress.exchange.disconnected.aborted) {
+            this.progress.exchange.respond(this.failureResponse.head, this.failureResponse.body);
+            this.progress.log("Answered with an endpoint's failure.", undefined, {
+                status: this.failureResponse.head.status,
+            });
             return;
         }
         throw error;
--- a/src/core/forwarding/sender.ts
+++ b/src/core/forwarding/sender.ts
@@ -1,6 +1,9 @@
-/** Sends one request to one placement: notes the work, sets memory aside where needed, and watches for silence. */
+/**
+ * Sends one attempt of a request to its placement: records the placed work, reserves memory where needed, and detects endpoints
+ * that stall.
+ */
 import type { AttemptOutcome, ForwardedRequest, StreamEvent } from "../../ports/forwardingPorts.js";
-import { RefusalReason, StreamSilentError } from "../../ports/forwardingPorts.js";
+import { RefusalReason, StreamStalledError } from "../../ports/forwardingPorts.js";
 import { RequestKind } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import { abortQuietly } from "../../utils/signal.js";
@@ -8,240 +11,247 @@
 import type { PlacedWork } from "../placement/engineEstimate.js";
 import { endpointsOfPlacement, workOfPlacement } from "../placement/placementWork.js";
 import type { Admission } from "./admission.js";
-import type { ForwardingParts } from "./forwardingParts.js";
+import type { ForwardingDependencies } from "./forwardingDependencies.js";
 import { MemoryHold } from "./memoryHold.js";
 
-/** The lowest rank that an endpoint knows; work that is late in any case gets it. */
-const lastRank = 9;
-/** Part of the limit after which a silent endpoint is judged again. */
-const askAgainPart = 0.2;
+/** The lowest priority that endpoints know. Requests that will be late in any case get it. */
+const lowestPriority = 9;
+/** After a stall that does not end the attempt, the endpoint is checked again after this fraction of the timeout. */
+const stallRecheckFraction = 0.2;
 /**
- * Part of the target that a connection may take before another endpoint is tried, and its bounds: a connection takes a few
- * milliseconds between data centres, an instance without power never answers, and an entry may be busy for a moment.
+ * Fraction of the latency target after which a connection attempt fails over to another endpoint, and its bounds. Connecting
+ * takes a few milliseconds between data centres, an instance without power never responds, and an entry may be busy for a
+ * moment.
  */
-const connectPart = 1 / 3;
-const connectAtLeast: Milliseconds = 100;
-const connectAtMost: Milliseconds = 400;
-const connectWithin = (target: Milliseconds): Milliseconds =>
-    Math.min(connectAtMost, Math.max(connectAtLeast, target * connectPart));
-/** Reservations of one request have names of their own, over all its sends. */
-const reservationName = (requestId: string, send: number, index: number): string => `${requestId}-${send}-${index}`;
-
-/** What is sent. */
+const connectTimeoutFraction = 1 / 3;
+const minimumConnectTimeout: Milliseconds = 100;
+const maximumConnectTimeout: Milliseconds = 400;
+const connectTimeoutFor = (target: Milliseconds): Milliseconds =>
+    Math.min(maximumConnectTimeout, Math.max(minimumConnectTimeout, target * connectTimeoutFraction));
+/** Each reservation of a request has a unique identifier over all attempts. */
+const reservationIdFor = (requestId: string, attemptNumber: number, index: number): string =>
+    `${requestId}-${attemptNumber}-${index}`;
+
+/** One attempt to send a request. */
 export interface Dispatch {
     placement: Placement;
     request: ForwardedRequest;
     admission: Admission;
-    /** Counts this request's tries to send, those without memory included. */
-    number: number;
-    resumeAfter: string | undefined;
-    /** Cancels the work at the endpoint. */
+    /** Number of this attempt, counting those that failed to reserve memory. */
+    attemptNumber: number;
+    lastEventId: string | undefined;
+    /** Cancels the attempt at the endpoint. */
     signal: AbortSignal;
-    silence: Silence;
+    stallPolicy: StallPolicy;
 }
 
-/** When an endpoint's silence ends a send. */
-export interface Silence {
-    /** The longest wait for the first event or the answer, and for each later event. */
-    first: Milliseconds;
-    later: Milliseconds;
-    /** Asked after such a wait: whether the request may go elsewhere now. If not, the wait goes on. */
-    mayLeave: () => Promise<boolean>;
+/** When an attempt is abandoned because the endpoint sends nothing. */
+export interface StallPolicy {
+    /** Timeout for the first event, or for a response that is not streamed. */
+    firstEventTimeout: Milliseconds;
+    eventGapTimeout: Milliseconds;
+    /** Called after a timeout. Resolves with whether the request may go to another endpoint; otherwise the wait goes on. */
+    mayAbandon: () => Promise<boolean>;
 }
 
-/** What became of a try to send. */
+/** Outcome of an attempt. */
 export type DispatchOutcome =
     | AttemptOutcome
-    /** It said nothing for so long that the request is sent elsewhere. */
+    /** The endpoint sent nothing for so long that the request goes elsewhere. */
     | { type: "Silent"; reason: string; }
-    /** These endpoints hadn't the memory that was to be set aside; nothing was sent. */
-    | { type: "NoMemory"; lacking: string[]; };
+    /** These endpoints could not reserve memory; nothing was sent. */
+    | { type: "NoMemory"; endpointsWithoutMemory: string[]; };
 
-/** Whether another endpoint answered in the place of the one that was meant. */
-const isOther = (outcome: AttemptOutcome): boolean =>
+/** Whether the response came from another endpoint than the one addressed. */
+const isFromOtherEndpoint = (outcome: AttemptOutcome): boolean =>
     outcome.type === "Refused" && outcome.reason === RefusalReason.WrongEndpoint;
 
-const silentFor = (limit: Milliseconds): string => `silent for ${Math.round(limit)} ms`;
+const stallReason = (timeout: Milliseconds): string => `nothing received for ${Math.round(timeout)} ms`;
 
-/** One try to send. */
+/** Runs one attempt. */
 export class Sender {
-    private readonly ending = new AbortController();
+    private readonly abortController = new AbortController();
     private hold: MemoryHold | undefined;
 
-    private constructor(private readonly parts: ForwardingParts, private readonly dispatch: Dispatch) {}
+    private constructor(private readonly dependencies: ForwardingDependencies, private readonly dispatch: Dispatch) {}
 
-    /** Sends, and resolves with what became of it. Notes the end of the work, also of a stream's. */
-    static async send(parts: ForwardingParts, dispatch: Dispatch): Promise<DispatchOutcome> {
-        return await new Sender(parts, dispatch).run();
+    /** Sends the request and resolves with the outcome. Records the end of the work, also when a stream ends later. */
+    static async send(dependencies: ForwardingDependencies, dispatch: Dispatch): Promise<DispatchOutcome> {
+        return await new Sender(dependencies, dispatch).run();
     }
 
     private async run(): Promise<DispatchOutcome> {
-        const { loads, cold, limits } = this.parts;
+        const { loadEstimator, coldBudget, endpointLimits } = this.dependencies;
         const { placement, signal } = this.dispatch;
         if (!placement.recorded) {
-            loads.recordPlaced(this.works());
+            loadEstimator.recordPlaced(this.placedWork());
         }
-        cold.recordSent(placement.endpoint.record.id);
-        limits.recordSent(placement.endpoint.record.id);
-        const lacking = await this.setMemoryAside();
-        if (lacking.length > 0) {
-            this.end();
-            return { type: "NoMemory", lacking };
+        coldBudget.recordSent(placement.endpoint.record.id);
+        endpointLimits.recordSent(placement.endpoint.record.id);
+        const endpointsWithoutMemory = await this.reserveMemory();
+        if (endpointsWithoutMemory.length > 0) {
+            this.finish();
+            return { type: "NoMemory", endpointsWithoutMemory };
         }
-        const end = () => abortQuietly(this.ending);
+        const end = () => abortQuietly(this.abortController);
         signal.addEventListener("abort", end, { once: true });
         if (signal.aborted) {
             end();
         }
-        const sentAt = this.parts.clock.now();
-        const outcome = await this.untilSilent(this.order(), this.dispatch.silence.first);
+        const sentAt = this.dependencies.clock.now();
+        const outcome = await this.waitUnlessStalled(
+            this.sendToEndpoint(),
+            this.dispatch.stallPolicy.firstEventTimeout,
+        );
         if (outcome === undefined) {
-            this.end();
-            return { type: "Silent", reason: silentFor(this.dispatch.silence.first) };
+            this.finish();
+            return { type: "Silent", reason: stallReason(this.dispatch.stallPolicy.firstEventTimeout) };
         }
-        this.noteLimit(outcome, sentAt);
+        this.recordLimit(outcome, sentAt);
         if (outcome.type === "Streaming") {
-            return { ...outcome, events: this.watched(outcome.events) };
+            return { ...outcome, events: this.watchStream(outcome.events) };
         }
-        this.end();
+        this.finish();
         return outcome;
     }
 
-    /** Takes what the answer says of the endpoint's limit. A refusal without one says nothing of it. */
-    private noteLimit(outcome: AttemptOutcome, sentAt: Milliseconds): void {
-        const { limits } = this.parts;
+    /** Records the request limit that a response names. A refusal without a limit leaves the recorded limit unchanged. */
+    private recordLimit(outcome: AttemptOutcome, sentAt: Milliseconds): void {
+        const { endpointLimits } = this.dependencies;
         const { id } = this.dispatch.placement.endpoint.record;
-        if (!("limitPerSecond" in outcome) || isOther(outcome)) {
+        if (!("limitPerSecond" in outcome) || isFromOtherEndpoint(outcome)) {
             return;
         }
         if (outcome.limitPerSecond !== undefined) {
-            limits.recordLimit(id, outcome.limitPerSecond);
+            endpointLimits.recordLimit(id, outcome.limitPerSecond);
         }
         else if (outcome.type !== "Refused") {
-            limits.recordNoLimit(id, sentAt);
+            endpointLimits.recordNoLimit(id, sentAt);
         }
     }
 
-    /** Endpoints that lack the memory; none when all of it is set aside. */
-    private async setMemoryAside(): Promise<string[]> {
-        const { placement, request, number } = this.dispatch;
+    /** Reserves the memory of the placement. Resolves with the endpoints that lack it; empty when all of it is reserved. */
+    private async reserveMemory(): Promise<string[]> {
+        const { placement, request, attemptNumber } = this.dispatch;
         if (placement.shares.length === 0) {
             return [];
         }
-        const shares = placement.shares.map(({ endpoint, tokens }, index) => ({
-            reservation: reservationName(request.id, number, index),
+        const reservations = placement.shares.map(({ endpoint, tokens }, index) => ({
+            id: reservationIdFor(request.id, attemptNumber, index),
             endpoint: endpoint.record,
             tokens,
         }));
-        const gathered = await MemoryHold.gather(this.parts, shares, request.id);
-        if ("lacking" in gathered) {
-            return gathered.lacking;
+        const acquired = await MemoryHold.acquire(this.dependencies, reservations, request.id);
+        if ("endpointsWithoutMemory" in acquired) {
+            return acquired.endpointsWithoutMemory;
         }
-        this.hold = gathered.hold;
+        this.hold = acquired.hold;
         return [];
     }
 
-    private order(): Promise<AttemptOutcome> {
-        const { placement, request, admission, resumeAfter, number } = this.dispatch;
+    private sendToEndpoint(): Promise<AttemptOutcome> {
+        const { placement, request, admission, lastEventId, attemptNumber } = this.dispatch;
         const { route, customer } = admission;
-        const { clock, endpoints } = this.parts;
-        const reservationOf = new Map(
+        const { clock, endpointPort } = this.dependencies;
+        const reservationIdByEndpoint = new Map(
             placement.shares.map((
                 { endpoint },
                 index,
-            ) => [endpoint.record.id, reservationName(request.id, number, index)]),
+            ) => [endpoint.record.id, reservationIdFor(request.id, attemptNumber, index)]),
         );
-        const own = reservationOf.has(placement.endpoint.record.id) ? [placement.endpoint] : [];
-        // Memory is filled in the order in which it is named, so those that hold some go first.
-        const helpers = [...own, ...placement.helpers].map(({ record }) => ({
+        const ownMemory = reservationIdByEndpoint.has(placement.endpoint.record.id) ? [placement.endpoint] : [];
+        // The endpoint fills memory in the order of this list, so endpoints with a reservation come first.
+        const helpers = [...ownMemory, ...placement.helpers].map(({ record }) => ({
             address: record.address,
-            reservation: reservationOf.get(record.id),
-        })).sort((left, right) => Number(right.reservation !== undefined) - Number(left.reservation !== undefined));
-        return endpoints.send(
+            reservationId: reservationIdByEndpoint.get(record.id),
+        })).sort((left, right) => Number(right.reservationId !== undefined) - Number(left.reservationId !== undefined));
+        return endpointPort.send(
             {
                 request,
                 endpoint: placement.endpoint.record,
                 timeLeft: admission.deadline - clock.now(),
                 customer: customer?.name,
-                priority: placement.yields ? lastRank : Math.min(lastRank - 1, customer?.priority ?? route.priority),
-                resumeAfter,
+                priority: placement.yields
+                    ? lowestPriority
+                    : Math.min(lowestPriority - 1, customer?.priority ?? route.priority),
+                lastEventId,
                 helpers,
-                streaming: route.kind === RequestKind.Streaming,
-                connectWithin: connectWithin(route.targetLatency),
-                mayReuseConnection: admission.repeatable,
+                isStreaming: route.kind === RequestKind.Streaming,
+                connectTimeout: connectTimeoutFor(route.targetLatency),
+                mayReuseConnection: admission.isRetryable,
             },
-            this.ending.signal,
+            this.abortController.signal,
         );
     }
 
     /**
-     * Waits for `work`; undefined when it was silent for `limit` and the request may go elsewhere.
+     * Waits for `work`. Resolves with undefined when nothing arrived within `timeout` and the request may go elsewhere.
      *
-     * An endpoint or a connection that falls silent says nothing, while its health is good and new connections work. Without
-     * a bound the caller gives up first. The work is cancelled, but only once somebody else can take it: silence alone ends
-     * no answer.
+     * An endpoint or a connection can stall while health checks succeed and new connections work. Without a bound the caller
+     * would give up first. The work is cancelled only once another endpoint can take it over: a stall alone ends no response.
      */
-    private untilSilent<Result>(work: Promise<Result>, limit: Milliseconds): Promise<Result | undefined> {
-        const { clock } = this.parts;
+    private waitUnlessStalled<Result>(work: Promise<Result>, timeout: Milliseconds): Promise<Result | undefined> {
+        const { clock } = this.dependencies;
         return new Promise((resolve, reject) => {
-            let over = false;
-            const look = async () => {
-                const leaves = !this.ending.signal.aborted && await this.dispatch.silence.mayLeave();
-                if (over) {
+            let isOver = false;
+            const check = async () => {
+                const shouldAbandon = !this.abortController.signal.aborted
+                    && await this.dispatch.stallPolicy.mayAbandon();
+                if (isOver) {
                     return;
                 }
-                if (leaves) {
-                    abortQuietly(this.ending);
+                if (shouldAbandon) {
+                    abortQuietly(this.abortController);
                     resolve(undefined);
                     return;
                 }
-                stopTimer = clock.after(limit * askAgainPart, () => void look());
+                stopTimer = clock.after(timeout * stallRecheckFraction, () => void check());
             };
-            let stopTimer = clock.after(limit, () => void look());
+            let stopTimer = clock.after(timeout, () => void check());
             work.then(resolve, reject).finally(() => {
-                over = true;
+                isOver = true;
                 stopTimer();
             });
         });
     }
 
-    /** Passes events through; ends the work however the stream ends. */
-    private async *watched(events: AsyncIterable<StreamEvent>): AsyncIterable<StreamEvent> {
+    /** Yields the events of a stream, and finishes the attempt however the stream ends. */
+    private async *watchStream(events: AsyncIterable<StreamEvent>): AsyncIterable<StreamEvent> {
         const iterator = events[Symbol.asyncIterator]();
-        let limit = this.dispatch.silence.first;
+        let timeout = this.dispatch.stallPolicy.firstEventTimeout;
         try {
             for (;;) {
-                const next = await this.untilSilent(iterator.next(), limit);
+                const next = await this.waitUnlessStalled(iterator.next(), timeout);
                 if (next === undefined) {
-                    throw new StreamSilentError(silentFor(limit));
+                    throw new StreamStalledError(stallReason(timeout));
                 }
                 if (next.done) {
                     return;
                 }
-                limit = this.dispatch.silence.later;
+                timeout = this.dispatch.stallPolicy.eventGapTimeout;
                 yield next.value;
             }
         }
         finally {
-            // A caller who leaves stops reading here; the endpoint's side ends with the signal.
-            abortQuietly(this.ending);
+            // When the caller disconnects, iteration stops here; the abort ends the endpoint's side.
+            abortQuietly(this.abortController);
             void iterator.return?.();
-            this.end();
+            this.finish();
         }
     }
 
-    private end(): void {
+    private finish(): void {
         const { placement, request } = this.dispatch;
         this.hold?.release();
         this.hold = undefined;
-        this.parts.loads.recordEnded(endpointsOfPlacement(placement), request.id);
+        this.dependencies.loadEstimator.recordEnded(endpointsOfPlacement(placement), request.id);
     }
 
-    private works(): PlacedWork[] {
+    private placedWork(): PlacedWork[] {
         const { placement, request, admission } = this.dispatch;
         return workOfPlacement(placement, {
             id: request.id,
-            owner: this.parts.entry,
+            owner: this.dependencies.entryId,
             promptTokens: request.size?.promptTokens ?? 0,
             targetGap: admission.route.targetGap,
             endsBy: admission.deadline,
--- a/src/core/forwarding/streamRelay.ts
+++ b/src/core/forwarding/streamRelay.ts
@@ -1,87 +1,89 @@
-/** Passes the events of a stream on to its caller, over all endpoints that continue it. */
+/** Relays the events of a stream to its caller, across all endpoints that continue it. */
 import type { CallerExchange, ResponseHead, StreamEvent } from "../../ports/forwardingPorts.js";
 import { StreamBrokenError } from "../../ports/forwardingPorts.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { Metrics } from "../metrics.js";
 
-/** One caller's stream. */
+/** The stream of one request. */
 export class StreamRelay {
-    /** Whether the caller has the head of an answer. */
-    begun = false;
-    /** The last event that the caller has whole. */
-    lastEvent: string | undefined;
-    /** Times since the request's arrival. */
+    /** Whether the response head was sent to the caller. */
+    hasStarted = false;
+    /** Identifier of the last event that the caller has received completely. */
+    lastEventId: string | undefined;
+    /** Time from the arrival of the request to its first event. */
     firstEventAfter: Milliseconds | undefined;
     longestPause: Milliseconds = 0;
-    /** When the first event was predicted to come, since the arrival. */
-    predicted: Milliseconds = 0;
-    private eventAt: Milliseconds | undefined;
+    /** Predicted time of the first event, since the arrival of the request. */
+    predictedFirstEvent: Milliseconds = 0;
+    private lastEventAt: Milliseconds | undefined;
 
     constructor(
         private readonly clock: Clock,
         private readonly metrics: Metrics,
         private readonly exchange: CallerExchange,
     ) {
-        this.lastEvent = exchange.head.resumeAfter;
+        this.lastEventId = exchange.head.lastEventId;
     }
 
-    /** Whether another endpoint can go on behind what the caller has. */
+    /** Whether another endpoint can continue after the last event that the caller has. */
     get canContinue(): boolean {
-        return !this.begun || this.lastEvent !== undefined;
+        return !this.hasStarted || this.lastEventId !== undefined;
     }
 
-    /** Time since the caller had an event, or since it asked. */
-    get sinceLastEvent(): Milliseconds {
-        return this.clock.now() - this.exchange.head.arrivedAt - (this.eventAt ?? 0);
+    /** Time since the last event, or since the arrival of the request when there was none. */
+    get timeSinceLastEvent(): Milliseconds {
+        return this.clock.now() - this.exchange.head.arrivedAt - (this.lastEventAt ?? 0);
     }
 
-    /** Passes all events of one endpoint; calls `onFirst` with the first. Throws when the stream breaks off. */
-    async pass(head: ResponseHead, events: AsyncIterable<StreamEvent>, onFirst: () => void): Promise<void> {
-        let writing = false;
+    /** Relays all events of one endpoint and calls `onFirst` with the first. Throws when the stream breaks off. */
+    async relayEvents(head: ResponseHead, events: AsyncIterable<StreamEvent>, onFirst: () => void): Promise<void> {
+        let hasFirstEvent = false;
         for await (const event of events) {
-            if (!writing) {
-                writing = true;
+            if (!hasFirstEvent) {
+                hasFirstEvent = true;
                 onFirst();
             }
             this.checkOrder(event);
-            this.noteTime();
-            this.begin(head);
-            this.lastEvent = event.id ?? this.lastEvent;
+            this.recordTime();
+            this.start(head);
+            this.lastEventId = event.id ?? this.lastEventId;
             await this.exchange.write(event.bytes);
         }
-        this.begin(head);
+        this.start(head);
     }
 
-    private begin(head: ResponseHead): void {
-        if (!this.begun) {
-            this.begun = true;
+    private start(head: ResponseHead): void {
+        if (!this.hasStarted) {
+            this.hasStarted = true;
             this.exchange.beginStream(head);
         }
     }
 
     /**
-     * Events come in the order of their identifiers. A late answer to an earlier run, or one that a faulty endpoint
-     * repeats, would reach the caller as events twice or out of order.
+     * Events must arrive in the order of their identifiers. Otherwise a late response to an earlier attempt, or a stream that a
+     * faulty endpoint repeats, would give the caller events twice or out of order.
      */
     private checkOrder({ id }: StreamEvent): void {
-        if (id !== undefined && this.lastEvent !== undefined && Number(id) <= Number(this.lastEvent)) {
-            throw new StreamBrokenError(`event ${id} came after event ${this.lastEvent}`);
+        if (id !== undefined && this.lastEventId !== undefined && Number(id) <= Number(this.lastEventId)) {
+            throw new StreamBrokenError(
+                `expected increasing event identifiers, but event ${id} arrived after event ${this.lastEventId}`,
+            );
         }
     }
 
-    private noteTime(): void {
+    private recordTime(): void {
         const now = Math.round(this.clock.now() - this.exchange.head.arrivedAt);
         if (this.firstEventAfter === undefined) {
             this.firstEventAfter = now;
             this.metrics.observe("first_event_milliseconds", now);
-            const error = now - this.predicted;
+            const error = now - this.predictedFirstEvent;
             this.metrics.observe(
                 "prediction_error_milliseconds",
                 Math.abs(error),
                 `side="${error > 0 ? "late" : "early"}"`,
             );
         }
-        this.longestPause = Math.max(this.longestPause, now - (this.eventAt ?? now));
-        this.eventAt = now;
+        this.longestPause = Math.max(this.longestPause, now - (this.lastEventAt ?? now));
+        this.lastEventAt = now;
     }
 }
--- a/src/ports/forwardingPorts.ts
+++ b/src/ports/forwardingPorts.ts
@@ -1,147 +1,150 @@
-/** What forwarding needs of callers and of endpoints. */
+/** Ports between forwarding and its callers and endpoints. */
 import type { RequestFailure } from "../core/failures.js";
 import type { EndpointRecord } from "../types/routing.js";
 import type { Milliseconds } from "../utils/clock.js";
 import { DandelionrampError } from "../utils/errors.js";
 
-/** Header names and values in the order in which they came: name, value, name, value. */
+/** Header names and values, alternating, in the order received. */
 export type HeaderList = readonly string[];
 
 /** Size of a generation in tokens. */
 export interface GenerationSize {
     promptTokens: number;
-    answerTokensAtMost: number;
+    maximumAnswerTokens: number;
 }
 
-/** What the head of a caller's request says. */
+/** The head of a request from a caller. */
 export interface RequestHead {
-    /** Names this attempt of the caller. */
+    /** Identifies this request; a retry by the caller has an identifier of its own. */
     id: string;
     method: string;
-    /** Path and query as they were sent. */
+    /** Path and query, unchanged. */
     target: string;
     host: string;
-    /** Headers that go on to the endpoint. */
+    /** Headers that are forwarded to the endpoint. */
     headers: HeaderList;
-    /** The key that the caller showed. */
-    key: string | undefined;
-    /** How long the caller waits, from the arrival. */
-    patience: Milliseconds | undefined;
-    /** When its head was read, on the local clock. */
+    /** API key of the caller. */
+    apiKey: string | undefined;
+    /** The caller's own timeout, counted from the arrival. */
+    callerTimeout: Milliseconds | undefined;
+    /** When the request head was read, on the local clock. */
     arrivedAt: Milliseconds;
-    /** The caller has a stream up to this event. */
-    resumeAfter: string | undefined;
+    /** Last event of the stream that the caller already has. */
+    lastEventId: string | undefined;
     size: GenerationSize | undefined;
 }
 
-/** One request of a caller, read whole. */
+/** A request with its complete body. */
 export interface ForwardedRequest extends RequestHead {
     body: Buffer;
 }
 
-/** An endpoint that reads a part of a prompt for another one. */
+/** An endpoint that prefills a part of a prompt for another endpoint. */
 export interface Helper {
     address: string;
-    /** Memory set aside there for the prompt; the endpoint that gets the order may name its own, and then goes first. */
-    reservation: string | undefined;
+    /**
+     * Memory reserved there for the prompt. An endpoint may be listed as its own helper to name its reservation, and then comes
+     * first.
+     */
+    reservationId: string | undefined;
 }
 
-/** One request as it goes to one endpoint. */
+/** One send of a request to one endpoint. */
 export interface EndpointAttempt {
     request: ForwardedRequest;
     endpoint: EndpointRecord;
-    /** What is left of the caller's time. */
+    /** Remaining time until the deadline. */
     timeLeft: Milliseconds;
-    /** The customer whose key the caller showed. */
+    /** The customer that the caller's API key belongs to. */
     customer: string | undefined;
-    /** Rank among the endpoint's waiting requests; 0 goes first. */
+    /** Priority in the queue of the endpoint; 0 is the highest. */
     priority: number;
-    /** The caller has the stream up to this event. */
-    resumeAfter: string | undefined;
-    /** Endpoints that read parts of the prompt. */
+    /** Last event of the stream that the caller already has. */
+    lastEventId: string | undefined;
+    /** Endpoints that prefill parts of the prompt. */
     helpers: readonly Helper[];
-    /** Whether the answer is a series of events. */
-    streaming: boolean;
-    /** How long a new connection may take. */
-    connectWithin: Milliseconds;
-    /** Whether a connection that was used before will do. */
+    /** Whether the response is an event stream. */
+    isStreaming: boolean;
+    /** Timeout for a new connection. */
+    connectTimeout: Milliseconds;
+    /** Whether an idle connection of an earlier request may be used. */
     mayReuseConnection: boolean;
 }
 
-/** One event of a stream, as its bytes came. */
+/** One event of a stream with its unchanged bytes. */
 export interface StreamEvent {
-    /** Its identifier; undefined where it has none. */
+    /** Identifier of the event; undefined where it has none. */
     id: string | undefined;
     bytes: Buffer;
 }
 
-/** Why an endpoint refused without running a request. */
+/** Why an endpoint refused a request without running it. */
 export enum RefusalReason {
     Busy = "busy",
-    /** Another endpoint has this address now. */
+    /** The address belongs to another endpoint now. */
     WrongEndpoint = "wrongEndpoint",
 }
 
-/** Status and headers of an endpoint's answer, as they go to the caller. */
+/** Status and headers of an endpoint's response, as they are sent to the caller. */
 export interface ResponseHead {
     status: number;
     headers: HeaderList;
 }
 
-/** What an endpoint says of itself in an answer. */
+/** Load information that an endpoint adds to its response. */
 export interface EndpointHints {
-    /** Requests a second that it takes from all entries together; undefined where it names no limit. */
+    /** Requests per second that the endpoint accepts from all entries together; undefined where it names no limit. */
     limitPerSecond: number | undefined;
 }
 
-/** An endpoint's own word that it hasn't run an order and won't. */
+/** An endpoint guarantees that it has not run the request and will not. */
 export interface Refusal extends EndpointHints {
     type: "Refused";
     reason: RefusalReason;
     coldFor: Milliseconds | undefined;
-    /** Identifier or address of the endpoint that it is due to, where the refusal says so. */
+    /** Identifier or address of the endpoint that caused the refusal, where the refusal names it. */
     atFault: string | undefined;
 }
 
-/** What became of an order. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
-    /** Not a byte of it was written; `connectionRefused` where the endpoint's instance said so. */
+    /** Not a byte was written. `connectionRefused` is true when the instance of the endpoint refused the connection. */
     | { type: "Unreached"; reason: string; connectionRefused: boolean; }
     | Refusal
-    /** It may have run; no whole answer came. */
+    /** The request may have run, but no complete response arrived. */
     | { type: "Broken"; reason: string; }
     | EndpointHints & { type: "Answered"; head: ResponseHead; body: Buffer; }
     | EndpointHints & { type: "Streaming"; head: ResponseHead; events: AsyncIterable<StreamEvent>; };
 
-/** A stream ended before its last event was whole. */
+/** A stream ended before its last event was complete. */
 export class StreamBrokenError extends DandelionrampError {}
 
-/** A stream said nothing for so long that it is continued elsewhere. */
-export class StreamSilentError extends StreamBrokenError {}
+/** No event arrived for so long that the stream is continued at another endpoint. */
+export class StreamStalledError extends StreamBrokenError {}
 
-/** The endpoints. */
+/** Sends requests to endpoints. */
 export interface EndpointPort {
-    /** Sends an order. An abort of `signal` cancels it at the endpoint; the outcome is then of no interest. */
-    send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome>;
+    /** Sends one attempt. Aborting `signal` cancels it at the endpoint; the outcome is then ignored. */
+    send(attempt: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome>;
 }
 
 /** The caller's side of one request. */
 export interface CallerExchange {
     readonly head: RequestHead;
-    /** Aborts when the caller has left. */
+    /** Aborts when the caller disconnects. */
     readonly disconnected: AbortSignal;
-    /** Reads the body. Throws a failure when it is over `limitBytes` or doesn't come whole. */
+    /** Reads the body. Throws a {@link RequestFailure} when it exceeds `limitBytes` or is incomplete. */
     readBody(limitBytes: number): Promise<Buffer>;
-    /** Passes an endpoint's whole answer on. */
+    /** Sends a complete response to the caller. */
     respond(head: ResponseHead, body: Buffer): void;
-    /** Begins a stream. */
+    /** Sends the head of a streamed response. */
     beginStream(head: ResponseHead): void;
-    /** Passes bytes on; resolves when the caller's connection takes more. */
+    /** Sends bytes of the stream; resolves when the connection accepts more. */
     write(bytes: Buffer): Promise<void>;
-    /** Ends a stream that is whole. */
+    /** Ends a complete stream. */
     endStream(): void;
-    /** Breaks a stream off, so that it can't look whole. */
+    /** Cuts a stream so that the caller can tell that it is incomplete. */
     abortStream(): void;
-    /** Answers with a failure of our own. */
+    /** Sends a failure of the entry itself. */
     fail(failure: RequestFailure): void;
 }
