--- a/src/ports/memoryPort.ts
+++ b/src/ports/memoryPort.ts
@@ -1,28 +1,28 @@
-/** What the core needs to set memory of endpoints aside. */
+/** Port for reservations of endpoint memory. */
 import type { EndpointRecord } from "../types/routing.js";
 import type { Milliseconds } from "../utils/clock.js";
 
-/** Memory of one endpoint for one send. */
+/** A reservation of memory on one endpoint for one attempt. */
 export interface MemoryReservation {
-    /** Names the reservation; no other send ever uses it. */
-    reservation: string;
+    /** Unique over all attempts. */
+    id: string;
     endpoint: EndpointRecord;
     tokens: number;
 }
 
-/** An endpoint's answer to a reservation. */
+/** Result of a reservation. */
 export enum ReservationResult {
     Held = "held",
-    /** Not free; nothing was set aside. */
+    /** The memory is not free; nothing was reserved. */
     Refused = "refused",
-    /** No answer: it may have been carried out, or may be carried out later. */
+    /** No response arrived. The endpoint may have reserved the memory, or may do so later. */
     Unknown = "unknown",
 }
 
-/** Memory of endpoints. Every call ends within its limit and never throws. */
+/** Reserves and releases memory of endpoints. Every call ends within its timeout and never throws. */
 export interface MemoryPort {
-    /** Sets memory aside for `hold`, or renews it. */
-    reserve(share: MemoryReservation, hold: Milliseconds, limit: Milliseconds): Promise<ReservationResult>;
-    /** Gives memory back; tells whether the endpoint has said so. */
-    release(share: MemoryReservation, limit: Milliseconds): Promise<boolean>;
+    /** Reserves memory for `duration`, or renews a reservation. */
+    reserve(reservation: MemoryReservation, duration: Milliseconds, timeout: Milliseconds): Promise<ReservationResult>;
+    /** Releases a reservation; resolves with whether the endpoint has confirmed it. */
+    release(reservation: MemoryReservation, timeout: Milliseconds): Promise<boolean>;
 }
--- a/src/replay/simulatedCaller.ts
+++ b/src/replay/simulatedCaller.ts
@@ -147,13 +147,13 @@
             target: `/${this.arrival.kind}/`,
             host: "replay",
             headers: [],
-            key: this.arrival.customer,
-            patience: this.timeLeft,
+            apiKey: this.arrival.customer,
+            callerTimeout: this.timeLeft,
             arrivedAt: this.parts.clock.now(),
-            resumeAfter: this.lastEvent > 0 ? String(this.lastEvent) : undefined,
+            lastEventId: this.lastEvent > 0 ? String(this.lastEvent) : undefined,
             size: {
                 promptTokens: this.arrival.promptTokens,
-                answerTokensAtMost: Math.min(answerAtMost, allowedAnswers * answerEvents) * stepsPerPass,
+                maximumAnswerTokens: Math.min(answerAtMost, allowedAnswers * answerEvents) * stepsPerPass,
             },
         };
     }
--- a/src/replay/simulatedFleet.ts
+++ b/src/replay/simulatedFleet.ts
@@ -73,7 +73,7 @@
         const endpoint = this.at(order.endpoint.address);
         const { record, engine, silent } = endpoint;
         if (silent) {
-            await this.clock.sleep(order.connectWithin, signal);
+            await this.clock.sleep(order.connectTimeout, signal);
             return { type: "Unreached", reason: "no connection in time", connectionRefused: false };
         }
         await this.travel();
@@ -90,7 +90,7 @@
     }
 
     async reserve(
-        { reservation, endpoint, tokens }: MemoryReservation,
+        { id, endpoint, tokens }: MemoryReservation,
         hold: Milliseconds,
     ): Promise<ReservationResult> {
         const { engine, silent } = this.at(endpoint.address);
@@ -98,19 +98,19 @@
         if (silent || engine.isDead) {
             return ReservationResult.Unknown;
         }
-        const held = engine.reserve(reservation, tokens, hold, false);
+        const held = engine.reserve(id, tokens, hold, false);
         await this.travel();
         return held ? ReservationResult.Held : ReservationResult.Refused;
     }
 
-    async release({ reservation, endpoint }: MemoryReservation): Promise<boolean> {
+    async release({ id, endpoint }: MemoryReservation): Promise<boolean> {
         await this.travel();
-        this.at(endpoint.address).engine.release(reservation);
+        this.at(endpoint.address).engine.release(id);
         return true;
     }
 
     private run(
-        { request, priority, resumeAfter, helpers }: EndpointAttempt,
+        { request, priority, lastEventId, helpers }: EndpointAttempt,
         engine: PassEngine,
         emit: (event: number) => void,
         signal: AbortSignal,
@@ -119,11 +119,11 @@
             id: request.id,
             promptTokens: request.size?.promptTokens ?? 0,
             events: this.eventsOf.get(request.id) ?? 1,
-            from: Number(resumeAfter ?? 0),
+            from: Number(lastEventId ?? 0),
             priority,
-            helpers: helpers.map(({ address, reservation }) => ({
+            helpers: helpers.map(({ address, reservationId }) => ({
                 engine: this.at(address).engine,
-                ticket: reservation,
+                ticket: reservationId,
             })),
         };
         return engine.run(work, emit, signal);
