--- a/__tests__/forwarding/answers.test.ts
+++ b/__tests__/forwarding/answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of faulty endpoints: none may reach a caller as a whole answer to its request. */
+/** Responses of faulty endpoints: none may reach a caller as a complete response to its request. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import type { ReplicaFault } from "../../platform/standins/replicaServer.js";
 import { call, Site, type SiteEntry } from "./support/site.js";
@@ -78,8 +78,8 @@
 });
 
 test("body without a length that is reset", async () => {
-    // A replica crashes within a body that has no length. The reset comes together with the last bytes, and Node reports it
-    // as an ordinary end: the caller would get half a body as a whole one.
+    // Guards against truncated bodies that look complete. A replica crashes within a body that has no length. The reset arrives
+    // together with the last bytes, and Node reports it as an ordinary end.
     withFault(({ id }, response) => {
         response.socket?.write(`${signed(id, ["Connection: close"])}half a bo`);
         (response.socket as import("node:net").Socket).resetAndDestroy();
@@ -88,8 +88,9 @@
     expect((await call(entry.callers, "/places/a")).status).toBe(502);
 });
 
-test("refusal without the word that nothing ran", async () => {
-    // The replica says 503 and nothing more. Passed on, it would promise that the booking never ran.
+test("503 without the guarantee that the request has not run", async () => {
+    // The replica responds 503 without its guarantee that the request has not run. If the entry passed 503 on, it would tell
+    // the caller that the booking never ran.
     withFault(({ id }, response, replica) => {
         response.writeHead(503, replica.answerHeaders(id)).end();
         return true;
@@ -100,8 +101,8 @@
 });
 
 test("second answer on a kept connection", async () => {
-    // A replica sends an answer twice. The second copy lies on the connection when the next caller's request goes out on it,
-    // and would reach that caller as its own.
+    // Guards against responses to other requests. A replica sends a response twice, and the second copy is on the idle
+    // connection when the next request is sent on it.
     let extra = true;
     withFault(({ id }, ...[, , socket]) => {
         const text = `${signed(id, ["Content-Length: 5"])}bunk1`;
@@ -119,7 +120,7 @@
     expect(second.headers["dandelionramp-request-id"]).toBe("second");
 });
 
-test("late answer where the next is due", async () => {
+test("late response to an earlier request", async () => {
     let calls = 0;
     withFault(({ id }, ...[, , socket]) => {
         calls++;
@@ -133,8 +134,8 @@
 });
 
 test("answer before the body is read", async () => {
-    // A replica answers a long body early and reads on. Whatever goes out on this connection next must come behind the whole
-    // body, or the replica takes the next request's bytes for the rest of this one.
+    // A replica responds to a long body early and keeps reading. The next request on this connection must follow the whole
+    // body, or the replica takes its bytes for the rest of the first request.
     const body = "x".repeat(19_000);
     expect((await call(entry.callers, "/lookups/a", { id: "first", body })).status).toBe(200);
     expect((await call(entry.callers, "/lookups/b", { id: "second", body: "short" })).status).toBe(200);
--- a/__tests__/forwarding/badRequests.test.ts
+++ b/__tests__/forwarding/badRequests.test.ts
@@ -1,4 +1,4 @@
-/** Requests that can't be served as they are: each gets a clear answer at once, and nothing of them is passed on. */
+/** Invalid requests: the entry rejects each at once with a matching status and forwards nothing. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { call, callerKey, sendRaw, Site, type SiteEntry } from "./support/site.js";
 
@@ -105,7 +105,7 @@
 });
 
 test("no configuration yet", async () => {
-    // An entry that has just started knows no routes. A 404 or 401 would tell callers that their route or key is gone.
+    // An entry that has just started has no routes. A 404 or 401 would tell callers that their route or key no longer exists.
     const bare = new Site();
     const early = await bare.start("entry-1", false);
     try {
--- a/__tests__/forwarding/largePrompts.test.ts
+++ b/__tests__/forwarding/largePrompts.test.ts
@@ -1,4 +1,7 @@
-/** Prompts larger than the memory of one engine: set aside on several, all or nothing, and given back on every way out. */
+/**
+ * Prompts that exceed the memory of one engine: their reservations succeed on all engines or on none, and are released however
+ * the request ends.
+ */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import type { ReplicaServer } from "../../platform/standins/replicaServer.js";
 import { call, eventIds, generation, Site, type SiteEntry, until } from "./support/site.js";
@@ -41,8 +44,8 @@
 });
 
 test("two entries ask for the same memory at once", async () => {
-    // Each of two long prompts needs two of three engines. If each held one and waited for the other's, neither would ever
-    // be answered, and the engines would be lost to everybody else.
+    // Guards against a deadlock. Each of two long prompts needs two of three engines. If each held one and waited for another,
+    // neither prompt would ever run, and the engines would be blocked for all requests.
     const entries = await Promise.all([site.start("entry-1"), site.start("entry-2")]);
     const answers = await Promise.all(entries.map(entry => ask(entry)));
     expect(answers.map(({ status }) => status)).toEqual([200, 200]);
@@ -50,7 +53,7 @@
 });
 
 test("one engine refuses its part", async () => {
-    // Another entry's work took the memory a moment before. The parts that were had must not stay set aside.
+    // Another entry reserved the memory a moment earlier. The reservations that succeeded must be released.
     const entry = await site.start("entry-1");
     let refusals = 2;
     for (const replica of replicas) {
@@ -68,7 +71,7 @@
 });
 
 test("reservation without an answer", async () => {
-    // The engine sets the memory aside and its answer is lost. Nobody would ever use or free it.
+    // The engine reserves the memory and its response is lost. Without a release the memory would stay reserved and unused.
     const entry = await site.start("entry-1");
     let lost = 1;
     for (const [index, replica] of replicas.entries()) {
@@ -99,7 +102,7 @@
 });
 
 test("entry dies while its prompt is read", async () => {
-    // Nobody is left to give the memory back. It lapses by itself, since it was only held for two seconds at a time.
+    // A dead entry releases nothing. Its reservations expire, since each lease lasts only two seconds.
     const entry = await site.start("entry-1");
     for (const replica of replicas) {
         replica.fault = () => true;
@@ -124,7 +127,7 @@
 });
 
 test("more than all engines hold", async () => {
-    // Refused at once, with the time to come back, and nothing set aside.
+    // The entry rejects the request at once with Retry-After, and reserves nothing.
     const entry = await site.start("entry-1");
     const answer = await call(entry.callers, "/replies/a", { headers: generation(400_000, 20) });
     expect(answer.status).toBe(503);
@@ -133,7 +136,7 @@
 });
 
 test("memory is renewed while an answer is written", async () => {
-    // The answer takes longer than memory is held at a time. Without renewals the engine would cut it in the middle.
+    // The response takes longer than the lease of a reservation. Without renewals the engine would cut it.
     site.configure(2, { replies: { timeout_ms: 10_000 } });
     const entry = await site.start("entry-1");
     const answer = await call(entry.callers, "/replies/a", {
@@ -141,7 +144,7 @@
     });
     expect(answer.status).toBe(200);
     expect(eventIds(answer.body)).toHaveLength(750);
-    // A cut answer would go on at another engine, and be whole all the same.
+    // A cut stream would continue at another engine and still be complete, so the arrivals are counted.
     expect(replicas.flatMap(({ arrivals }) => arrivals)).toHaveLength(1);
     await noneLeft();
 });
--- a/__tests__/forwarding/logs.test.ts
+++ b/__tests__/forwarding/logs.test.ts
@@ -1,4 +1,4 @@
-/** Logs are bounded and never hold up requests. */
+/** Logs are bounded and never delay requests. */
 import { expect, test } from "vitest";
 import { BoundedLogStream } from "../../src/utils/logStream.js";
 import { call, generation, Site } from "./support/site.js";
@@ -20,7 +20,7 @@
     return { state, stream: new BoundedLogStream(sink, clock, "entry-1") };
 };
 
-test("failures go before the usual lines", () => {
+test("warnings have priority over info lines", () => {
     const { state, stream } = fixture();
     for (let line = 0; line < 1_000; line++) {
         stream.write({ level: 30, msg: "request: Sent." });
@@ -32,8 +32,8 @@
     expect(state.lines.length).toBeLessThan(400);
 });
 
-test("reader that stalls", () => {
-    // The reader of the log stops reading. Nothing may wait for it, and the memory that its lines take is bounded.
+test("log consumer stalls", () => {
+    // The consumer of the log stops reading. No request may wait for it, and the memory for buffered lines is bounded.
     const { state, stream } = fixture();
     state.waiting = 2 * 1024 * 1024;
     for (state.now = 0; state.now < 10_000; state.now += 10) {
--- a/__tests__/forwarding/program.test.ts
+++ b/__tests__/forwarding/program.test.ts
@@ -1,4 +1,4 @@
-/** The serving program itself, as a process of its own: signals, settings, exit codes. */
+/** The serving program as a separate process: signals, settings and exit codes. */
 import { buildSync } from "esbuild";
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -18,7 +18,7 @@
 let site: Site;
 let child: ChildProcess | undefined;
 let output = "";
-/** Callers', readiness, peers' and metrics ports. */
+/** Ports for callers, readiness, peers and metrics. */
 let ports: number[] = [];
 
 const freePort = (): Promise<number> =>
@@ -111,8 +111,8 @@
 };
 
 test("SIGHUP reads the settings again and ends nothing", async () => {
-    // The platform says by SIGHUP that the settings file has changed. Node ends a process that doesn't listen for it, and
-    // with it every request in progress.
+    // The platform sends SIGHUP when the settings file has changed. Node ends a process that does not handle SIGHUP, and every
+    // request in progress with it.
     const exited = start(await settingsText());
     await untilReadinessIs(200);
     writeFileSync(settingsFile, await settingsText({ "bounds.budget_extra": "7" }));
@@ -138,15 +138,15 @@
     expect(await exited).toBe(0);
 });
 
-test("faulty settings are named", async () => {
+test("invalid setting is named in the error", async () => {
     const exited = start(await settingsText({ "bounds.grace_s": "soon" }));
     expect(await exited).toBe(1);
     expect(output).toContain("[stop] graceSeconds: expected a number of at least 0");
 });
 
 test("reader of the logs that stalls", async () => {
-    // Whoever reads the entry's lines stops reading. Node writes to pipes synchronously, and the whole entry would stop at
-    // the first line that finds the pipe full.
+    // The consumer of the log stops reading. Node writes to pipes synchronously, and the whole entry would block at the first
+    // line after the pipe is full.
     site.configure(2, { lookups: { timeout_ms: 60_000 } });
     const exited = start(await settingsText());
     await untilReadinessIs(200);
--- a/__tests__/forwarding/requests.test.ts
+++ b/__tests__/forwarding/requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests through a whole site on loopback: routes, keys, kinds, times and streams. */
+/** Requests through a complete site on loopback: routes, keys, request kinds, deadlines and streams. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { systemClock } from "../../src/utils/clock.js";
 import { call, eventIds, generation, operatorConfiguration, quickEngine, Site, until } from "./support/site.js";
@@ -65,8 +65,8 @@
 });
 
 test("answer at the route's timeout", async () => {
-    // A replica takes a request and never answers. The caller must hear of it when the route's time is over, not when its
-    // own patience ends.
+    // A replica accepts a request and never responds. The caller must receive a response when the timeout of the route is over,
+    // not only at its own deadline.
     const { replica, entry } = await bookings();
     replica.fault = () => true;
     site.configure(2, { lookups: { timeout_ms: 300 } });
@@ -77,7 +77,7 @@
     await until(() => replica.cancelled.length === 1);
 });
 
-test("shares of a split", async () => {
+test("traffic split follows its weights", async () => {
     const first = await site.replica("i-1", "bookings");
     const second = await site.replica("j-1", "bookings-new");
     const split = {
@@ -98,7 +98,7 @@
     expect(first.arrivals.length).toBeGreaterThan(3);
 });
 
-test("busy endpoint's word sends a booking elsewhere", async () => {
+test("booking refused by a busy endpoint goes to another", async () => {
     const { replica, entry } = await bookings();
     const other = await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
@@ -116,7 +116,7 @@
     expect(site.runs("r-1")).toBe(1);
 });
 
-test("busy endpoints make an honest refusal", async () => {
+test("busy endpoints lead to a rejection that reports not-run", async () => {
     const { replica, entry } = await bookings();
     replica.fault = ({ id }, response) => {
         response.writeHead(503, { "dandelionramp-request-id": id, "dandelionramp-not-executed": "1" }).end();
@@ -130,7 +130,7 @@
 });
 
 test("booking isn't sent again after a broken answer", async () => {
-    // The replica books the place and dies before its answer is out. A second send would charge the family twice.
+    // The replica books the place and dies before its response is sent. A second attempt would charge the customer twice.
     const { replica, entry } = await bookings();
     await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
@@ -194,9 +194,9 @@
     expect(answer.headers["dandelionramp-response-signature"]).toBe("signed-by-i-1");
 });
 
-test("address that changed hands", async () => {
-    // A replica has ended and its address belongs to another one. The listed identity goes along with each request, so the
-    // newcomer refuses, and the request finds a living replica.
+test("address now belongs to another replica", async () => {
+    // A replica has ended and its address belongs to another one. Each request carries the expected instance, so the new
+    // replica refuses, and the request reaches a live replica.
     const { entry } = await bookings();
     const other = await site.replica("i-2", "bookings");
     site.record("i-1", { address: other.address });
@@ -222,8 +222,8 @@
 });
 
 test("broken stream goes on elsewhere", async () => {
-    // A replica dies in the middle of an event. The caller's answer goes on at another replica behind the last whole event:
-    // no gap, no repeat, no half event.
+    // A replica dies in the middle of an event. The stream continues at another replica after the last complete event, without
+    // a gap, a repeated event or a partial event.
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
         replica.fault = ({ id, headers }, response) => {
@@ -242,7 +242,7 @@
     expect(first.arrivals.length + second.arrivals.length).toBe(2);
 });
 
-test("broken stream that can't go on looks broken", async () => {
+test("broken stream that can't be resumed is cut", async () => {
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
         replica.fault = ({ id }, response) => {
@@ -259,7 +259,7 @@
 });
 
 test("events that come again aren't passed on", async () => {
-    // A faulty replica answers a resumed stream from its beginning. Passing that on would give the caller events twice.
+    // A faulty replica starts a resumed stream from its beginning. Relaying it would give the caller events twice.
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
         replica.fault = ({ id }, response) => {
@@ -287,8 +287,8 @@
 });
 
 test("cancelled order resets its connection", async () => {
-    // A data centre is cut off while an order is on its way there. What was written is held up, and with an ordinary close it
-    // still arrives after the cut, at an endpoint that must get nothing any more.
+    // A data centre is cut off while an order is in flight to it. After an ordinary close the delayed bytes would still arrive
+    // when the network recovers, at an endpoint that must receive nothing any more.
     const { replica, entry } = await bookings();
     let end: string | undefined;
     replica.fault = (...[, , , socket]) => {
@@ -305,7 +305,7 @@
     expect(end).toBe("ECONNRESET");
 });
 
-test("long prompt is read by several", async () => {
+test("long prompt is prefilled with a helper", async () => {
     const slow = { readTokensPerSecond: 40_000 };
     for (const id of ["m-1", "m-2", "m-3"]) {
         await site.replica(id, "models", "north-a", { ...quickEngine, ...slow });
@@ -322,8 +322,8 @@
 });
 
 test("work that callers would give up is refused at once", async () => {
-    // All slots are taken for seconds, and a queue waits for them. A further request would be given up before its first event;
-    // it is told at once when to come back, and has not run.
+    // All slots are taken for seconds, and requests are queued for them. The caller of a further request would give up before
+    // its first event, so the entry rejects the request at once with a retry delay, and it has not run.
     await site.replica("m-1", "models");
     site.configure(1, { replies: { timeout_ms: 8_000 } });
     const entry = await site.start("entry-1");
@@ -347,8 +347,8 @@
 });
 
 test("dead helper isn't chosen again", async () => {
-    // An engine has died and is still listed. Engines that read a long prompt with its help refuse in its place and name it.
-    // If nobody looks at the name, the next attempt gets the same dead helper, and the prompt is refused.
+    // An engine has died and is still listed. Engines that prefill a long prompt with its help refuse in its place and name it.
+    // If the entry ignored the name, the next attempt would get the same dead helper, and the request would fail.
     const slow = { ...quickEngine, readTokensPerSecond: 20_000 };
     for (const id of ["m-1", "m-2", "m-3", "m-4"]) {
         await site.replica(id, "models", "north-a", slow);
@@ -360,7 +360,7 @@
     const entry = await site.start("entry-1");
     await until(() => entry.entry.directory.usable("models").length === 4);
     site.engines.delete("m-4");
-    // Until it has read the list of entries, it takes itself for one of a hundred and may send next to nothing again.
+    // Until the entry has read the list of entries, it assumes to be one of a hundred and has almost no retry budget.
     await until(() => site.store.model.get("entries", "entry-1") !== undefined);
     await systemClock.sleep(50);
     const headers = { ...generation(60_000, 8), "dandelionramp-deadline-ms": "8000" };
@@ -368,9 +368,9 @@
     expect(site.lines.filter(({ message }) => message === "request: An endpoint refused.")).toHaveLength(1);
 });
 
-test("silent endpoint is left for another", async () => {
-    // An endpoint takes a request and says nothing more, though its health is good. Without a bound the caller would give up
-    // after two seconds, or wait for its deadline.
+test("stalled endpoint is abandoned for another", async () => {
+    // An endpoint accepts a request and sends nothing more, while its health checks succeed. Without a bound the caller would
+    // give up after two seconds, or wait until its deadline.
     const { first, second, entry } = await models();
     for (const silent of [first, second]) {
         silent.fault = () => first.arrivals.length + second.arrivals.length === 1;
@@ -382,7 +382,7 @@
     await until(() => first.cancelled.length + second.cancelled.length === 1);
 });
 
-test("stream that falls silent goes on elsewhere", async () => {
+test("stalled stream continues at another endpoint", async () => {
     const { first, second, entry } = await models();
     for (const silent of [first, second]) {
         silent.fault = ({ id }, response, replica) => {
@@ -399,8 +399,8 @@
     expect(eventIds(answer.body)).toEqual([1, 2, 3, 4, 5]);
 });
 
-test("silent endpoint is not left by what must run once", async () => {
-    // A booking may have run where nothing is heard of it. It waits for its time to be over, and is told that nobody knows.
+test("non-idempotent request stays at a stalled endpoint", async () => {
+    // A booking may have run at a stalled endpoint. The entry waits until its deadline and reports an unknown execution.
     const { replica, entry } = await bookings();
     const other = await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
--- a/__tests__/forwarding/samePort.test.ts
+++ b/__tests__/forwarding/samePort.test.ts
@@ -1,4 +1,4 @@
-/** An entry takes datagrams and questions of the others on one port number. */
+/** An entry receives datagrams and state queries of other entries on one port number. */
 import dgram from "node:dgram";
 import { expect, test } from "vitest";
 import { listenOnSamePort } from "../../src/utils/samePort.js";
@@ -19,9 +19,9 @@
     return { open, closed };
 };
 
-test("number that is taken for the other listener", async () => {
-    // The system picks a free port for connections. Another process has the same number for datagrams, and the entry would
-    // end at its start.
+test("port number that is taken for the second listener", async () => {
+    // The system picks a free TCP port. Another process uses the same number for UDP, and without another try the entry would
+    // exit at its start.
     const { open, closed } = opener(["4001", "4002", "4003"]);
     const taken = new Set(["127.0.0.1:4001", "127.0.0.1:4002"]);
     const second = (address: string) => taken.has(address) ? Promise.reject(new Error("in use")) : Promise.resolve();
@@ -29,14 +29,14 @@
     expect(closed).toEqual([...taken]);
 });
 
-test("port that was asked for stays", async () => {
+test("explicit port is not replaced", async () => {
     const { open, closed } = opener(["4001", "4002"]);
     const second = () => Promise.reject(new Error("in use"));
     await expect(listenOnSamePort("127.0.0.1:4001", open, second)).rejects.toThrow("in use");
     expect(closed).toEqual(["127.0.0.1:4001"]);
 });
 
-test("entry whose port is taken says so", async () => {
+test("entry reports that its port is taken", async () => {
     const other = dgram.createSocket("udp4");
     const port = await new Promise<number>(resolve => {
         other.bind(0, "127.0.0.1", () => resolve(other.address().port));
--- a/__tests__/forwarding/settings.test.ts
+++ b/__tests__/forwarding/settings.test.ts
@@ -1,4 +1,4 @@
-/** The settings as the platform fills them in. */
+/** The settings file as the platform fills it in. */
 import { readFileSync } from "node:fs";
 import path from "node:path";
 import { expect, test } from "vitest";
@@ -47,8 +47,8 @@
 });
 
 test("fractions with many digits", () => {
-    // The platform works a bound out by a division and writes all its digits. An entry that takes only nine of them ends at
-    // each start, on all instances, and nobody is served.
+    // The platform computes a bound by a division and writes all its digits. An entry that accepted only nine of them would
+    // exit at each start, on all instances.
     const settings = filledIn({ "bounds.budget_extra": "50.806451612903224", "bounds.cold_overage": "1e-05" });
     expect(settings.repeats.extra).toBeCloseTo(50.806);
     expect(settings.cold.factor).toBe(0.00001);
--- a/__tests__/forwarding/stop.test.ts
+++ b/__tests__/forwarding/stop.test.ts
@@ -1,4 +1,4 @@
-/** Planned stops cut nothing, and an entry says in time that it leaves. */
+/** A planned stop cuts no request, and the entry announces it in time. */
 import http from "node:http";
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { systemClock } from "../../src/utils/clock.js";
@@ -24,7 +24,7 @@
     });
 
 test("stopping entry isn't ready and still serves", async () => {
-    // The balancer sends callers for two seconds more. Refusing them, or closing the port, would cut requests.
+    // The balancer routes callers here for two more seconds. Rejecting them or closing the port would cut requests.
     const { entry, callers, readiness: address } = await site.start("entry-1");
     expect(await readiness(address)).toBe(200);
     const stopped = entry.stop();
@@ -72,9 +72,9 @@
     agent.destroy();
 });
 
-test("request that can't end before the entry does", async () => {
-    // All entries of a data centre stop together, and the balancer still sends callers there. A stream that begins late in
-    // the grace would be cut in the middle; refused at once, its caller finds another entry in time.
+test("request that can't end before the stop is rejected", async () => {
+    // All entries of a data centre stop together, and the balancer still routes callers there. A stream that starts late in the
+    // grace period would be cut; a caller that is rejected at once finds another entry in time.
     const { entry, callers } = await site.start("entry-1");
     const stopped = entry.stop();
     await systemClock.sleep(500);
--- a/__tests__/forwarding/support/site.ts
+++ b/__tests__/forwarding/support/site.ts
@@ -1,4 +1,4 @@
-/** A small site on loopback: the store, replicas and entries as they run, in one process. */
+/** A small site on loopback for tests: the store, replicas and entries in one process. */
 import http from "node:http";
 import net from "node:net";
 import { platformWire } from "../../../platform/forwardingWire.js";
@@ -15,7 +15,7 @@
 import { LogLevel, type PartLog } from "../../../src/utils/log.js";
 import { seededRandom } from "../../../src/utils/random.js";
 
-/** An engine quick enough for tests: a pass of one writer takes 4 ms. */
+/** A fast engine for tests: a pass with one sequence takes 4 ms. */
 export const quickEngine: EngineProfile = {
     slots: 4,
     memoryTokens: 100_000,
@@ -45,7 +45,7 @@
 
 export const callerKey = "key-of-north";
 
-/** Routes of the usual site, as the operator writes them; `changes` replace fields of the named route. */
+/** Configuration of the default site in the format of the platform; `changes` override fields of the named route. */
 export const operatorConfiguration = (version: number, changes: Record<string, object> = {}) => {
     const route = (name: string, fields: object) => ({
         name,
@@ -88,14 +88,14 @@
     };
 };
 
-/** Lines that the entries logged. */
+/** A line that an entry logged. */
 export interface LoggedLine {
     entry: string;
     message: string;
     fields: Record<string, unknown>;
 }
 
-/** A running entry of the site. */
+/** A running entry of the site, and its addresses. */
 export interface SiteEntry {
     entry: ForwardingEntry;
     door: StoreDoor;
@@ -105,23 +105,23 @@
     peers: string;
 }
 
-/** How an entry starts, beyond the usual. */
+/** Options for starting an entry. */
 export interface StartOptions {
-    /** How the store turns it away from the start. */
+    /** How the store fails its calls from the start. */
     refusal?: Refusal;
-    /** How late the store answers it, in milliseconds. */
+    /** Delay of the store's responses to it, in milliseconds. */
     delay?: number;
-    /** Where it takes the other entries' messages. */
+    /** Address for messages of other entries. */
     peers?: string;
-    /** Entries that its settings name. */
+    /** Seed entries in its settings. */
     seeds?: string[];
     /** Whether the whole site starts for the first time. */
     firstStart?: boolean;
-    /** How long a planned stop may take. */
+    /** Grace period of a planned stop. */
     graceSeconds?: number;
 }
 
-/** The whole site. */
+/** The site: one store with its replicas and entries. */
 export class Site {
     readonly store = new StoreServer(systemClock);
     readonly replicas = new Map<string, ReplicaServer>();
@@ -129,7 +129,7 @@
     readonly entries: SiteEntry[] = [];
     readonly lines: LoggedLine[] = [];
 
-    /** Adds a replica, listed as ready. */
+    /** Starts a replica and lists it as ready. */
     async replica(
         id: string,
         service: string,
@@ -147,7 +147,7 @@
         return replica;
     }
 
-    /** Writes a replica's record. */
+    /** Writes the record of a replica to the store. */
     record(id: string, fields: object): void {
         const present = this.store.model.get("servers", id)?.value as object | undefined;
         this.store.model.put("servers", id, {
@@ -210,7 +210,7 @@
         await this.store.close();
     }
 
-    /** Runs of a request over all replicas. */
+    /** Number of runs of a request, over all replicas. */
     runs(requestId: string): number {
         return [...this.replicas.values()].reduce((sum, replica) => sum + (replica.runs.get(requestId) ?? 0), 0);
     }
@@ -232,30 +232,30 @@
     }
 }
 
-/** Waits until `holds`, for five seconds at most. */
+/** Waits until `holds` returns true, for at most five seconds. */
 export const until = async (holds: () => boolean): Promise<void> => {
     const limit = 5_000;
     for (const begun = Date.now(); !holds();) {
         if (Date.now() - begun > limit) {
-            throw new Error("what was waited for did not come");
+            throw new Error("the condition did not hold within five seconds");
         }
         await systemClock.sleep(5);
     }
 };
 
-/** An answer as a caller gets it. */
+/** A response as a caller receives it. */
 export interface CallerAnswer {
     status: number;
     headers: http.IncomingHttpHeaders;
     body: string;
-    /** Whether the answer was framed as whole. */
+    /** Whether the response was complete by its framing. */
     whole: boolean;
     took: number;
 }
 
 let nextRequest = 0;
 
-/** What a caller sends beyond the usual. */
+/** Options of a request. */
 export interface CallerOptions {
     id?: string;
     host?: string;
@@ -265,7 +265,7 @@
     signal?: AbortSignal;
 }
 
-/** Sends a request as a caller does. Rejects only when no answer begins. */
+/** Sends a request as a caller does. Rejects only when no response starts. */
 export const call = (address: string, target: string, options: CallerOptions = {}): Promise<CallerAnswer> =>
     new Promise((resolve, reject) => {
         const begun = Date.now();
@@ -301,7 +301,7 @@
         request.end(options.body ?? "");
     });
 
-/** Sends bytes as they are, and resolves with all that comes back until the connection closes. */
+/** Sends raw bytes and resolves with everything received until the connection closes. */
 export const sendRaw = (address: string, bytes: string, closeAfter = 2_500): Promise<string> =>
     new Promise(resolve => {
         const { host, port } = splitAddress(address);
@@ -316,11 +316,11 @@
         setTimeout(() => socket.destroy(), closeAfter).unref();
     });
 
-/** Headers of a generation. */
+/** Request headers of a generation. */
 export const generation = (promptTokens: number, answerTokens: number): Record<string, string> => ({
     "dandelionramp-token-count": `${promptTokens},${answerTokens}`,
     "dandelionramp-model": "m",
 });
 
-/** Identifiers of the events in a stream's body. */
+/** Identifiers of the events in the body of a stream. */
 export const eventIds = (body: string): number[] => [...body.matchAll(/^id: (\d+)$/gm)].map(found => Number(found[1]));
