--- a/__tests__/forwarding/answers.test.ts
+++ b/__tests__/forwarding/answers.test.ts
@@ -15,11 +15,11 @@
 
 afterEach(() => site.close());
 
-const withFault = (fault: ReplicaFault) => {
+const setFault = (fault: ReplicaFault) => {
     site.replicas.get("i-1")!.fault = fault;
 };
 
-const signed = (id: string, lines: string[]): string =>
+const signedHead = (id: string, lines: string[]): string =>
     [
         "HTTP/1.1 200 OK",
         `Dandelionramp-Request-Id: ${id}`,
@@ -30,7 +30,7 @@
     ].join("\r\n");
 
 test("answer without a signature", async () => {
-    withFault(({ id }, response) => {
+    setFault(({ id }, response) => {
         response.writeHead(200, { "dandelionramp-request-id": id }).end("not ours");
         return true;
     });
@@ -38,7 +38,7 @@
 });
 
 test("answer to another request", async () => {
-    withFault((...[, response, replica]) => {
+    setFault((...[, response, replica]) => {
         response.writeHead(200, replica.answerHeaders("another")).end("somebody's bunk");
         return true;
     });
@@ -46,7 +46,7 @@
 });
 
 test("encoded answer", async () => {
-    withFault(({ id }, response, replica) => {
+    setFault(({ id }, response, replica) => {
         response.writeHead(200, { ...replica.answerHeaders(id), "content-encoding": "gzip" }).end("bytes");
         return true;
     });
@@ -54,7 +54,7 @@
 });
 
 test("bytes that are no answer", async () => {
-    withFault((...[, , , socket]) => {
+    setFault((...[, , , socket]) => {
         socket.end("no protocol at all\r\n\r\n");
         return true;
     });
@@ -62,16 +62,16 @@
 });
 
 test("body shorter than its length", async () => {
-    withFault(({ id }, response) => {
-        response.socket?.end(`${signed(id, ["Content-Length: 50"])}short`);
+    setFault(({ id }, response) => {
+        response.socket?.end(`${signedHead(id, ["Content-Length: 50"])}short`);
         return true;
     });
     expect((await call(entry.callers, "/places/a")).status).toBe(502);
 });
 
 test("body without a length that ends", async () => {
-    withFault(({ id }, response) => {
-        response.socket?.end(`${signed(id, ["Connection: close"])}the whole body`);
+    setFault(({ id }, response) => {
+        response.socket?.end(`${signedHead(id, ["Connection: close"])}the whole body`);
         return true;
     });
     expect(await call(entry.callers, "/places/a")).toMatchObject({ status: 200, body: "the whole body" });
@@ -80,8 +80,8 @@
 test("body without a length that is reset", async () => {
     // Guards against truncated bodies that look complete. A replica crashes within a body that has no length. The reset arrives
     // together with the last bytes, and Node reports it as an ordinary end.
-    withFault(({ id }, response) => {
-        response.socket?.write(`${signed(id, ["Connection: close"])}half a bo`);
+    setFault(({ id }, response) => {
+        response.socket?.write(`${signedHead(id, ["Connection: close"])}half a bo`);
         (response.socket as import("node:net").Socket).resetAndDestroy();
         return true;
     });
@@ -91,7 +91,7 @@
 test("503 without the guarantee that the request has not run", async () => {
     // The replica responds 503 without its guarantee that the request has not run. If the entry passed 503 on, it would tell
     // the caller that the booking never ran.
-    withFault(({ id }, response, replica) => {
+    setFault(({ id }, response, replica) => {
         response.writeHead(503, replica.answerHeaders(id)).end();
         return true;
     });
@@ -103,12 +103,12 @@
 test("second answer on a kept connection", async () => {
     // Guards against responses to other requests. A replica sends a response twice, and the second copy is on the idle
     // connection when the next request is sent on it.
-    let extra = true;
-    withFault(({ id }, ...[, , socket]) => {
-        const text = `${signed(id, ["Content-Length: 5"])}bunk1`;
+    let shouldRepeat = true;
+    setFault(({ id }, ...[, , socket]) => {
+        const text = `${signedHead(id, ["Content-Length: 5"])}bunk1`;
         socket.write(text);
-        if (extra) {
-            extra = false;
+        if (shouldRepeat) {
+            shouldRepeat = false;
             setTimeout(() => socket.write(text), 20);
         }
         return true;
@@ -122,10 +122,10 @@
 
 test("late response to an earlier request", async () => {
     let calls = 0;
-    withFault(({ id }, ...[, , socket]) => {
+    setFault(({ id }, ...[, , socket]) => {
         calls++;
-        const answered = calls === 2 ? "first" : id;
-        socket.write(`${signed(answered, ["Content-Length: 5"])}bunk${calls}`);
+        const responseId = calls === 2 ? "first" : id;
+        socket.write(`${signedHead(responseId, ["Content-Length: 5"])}bunk${calls}`);
         return true;
     });
     expect((await call(entry.callers, "/lookups/a", { id: "first" })).body).toBe("bunk1");
--- a/__tests__/forwarding/largePrompts.test.ts
+++ b/__tests__/forwarding/largePrompts.test.ts
@@ -9,7 +9,7 @@
 let site: Site;
 let replicas: ReplicaServer[];
 
-const overMemory = generation(150_000, 20);
+const largePromptHeaders = generation(150_000, 20);
 
 beforeEach(async () => {
     site = new Site();
@@ -22,83 +22,83 @@
 
 afterEach(() => site.close());
 
-const reservations = (): number =>
+const reservationCount = (): number =>
     [...site.engines.values()].reduce((sum, { reservations: { size } }) => sum + size, 0);
 
-const noneLeft = () => until(() => reservations() === 0);
+const untilAllReleased = () => until(() => reservationCount() === 0);
 
-const ask = (entry: SiteEntry, signal?: AbortSignal) =>
+const sendLargePrompt = (entry: SiteEntry, signal?: AbortSignal) =>
     call(entry.callers, "/replies/a", {
-        headers: { ...overMemory, "dandelionramp-deadline-ms": "5000" },
+        headers: { ...largePromptHeaders, "dandelionramp-deadline-ms": "5000" },
         signal,
     });
 
 test("prompt over one engine's memory is read by a team", async () => {
     const entry = await site.start("entry-1");
-    const answer = await ask(entry);
+    const answer = await sendLargePrompt(entry);
     expect(answer.status).toBe(200);
     expect(eventIds(answer.body)).toEqual([1, 2, 3, 4, 5]);
-    const ordered = replicas.flatMap(({ orders }) => orders).filter(({ operation }) => operation === "reserve");
-    expect(ordered.reduce((sum, { tokens }) => sum + (tokens ?? 0), 0)).toBeGreaterThan(150_000);
-    await noneLeft();
+    const reserveOrders = replicas.flatMap(({ orders }) => orders).filter(({ operation }) => operation === "reserve");
+    expect(reserveOrders.reduce((sum, { tokens }) => sum + (tokens ?? 0), 0)).toBeGreaterThan(150_000);
+    await untilAllReleased();
 });
 
 test("two entries ask for the same memory at once", async () => {
     // Guards against a deadlock. Each of two long prompts needs two of three engines. If each held one and waited for another,
     // neither prompt would ever run, and the engines would be blocked for all requests.
     const entries = await Promise.all([site.start("entry-1"), site.start("entry-2")]);
-    const answers = await Promise.all(entries.map(entry => ask(entry)));
+    const answers = await Promise.all(entries.map(entry => sendLargePrompt(entry)));
     expect(answers.map(({ status }) => status)).toEqual([200, 200]);
-    await noneLeft();
+    await untilAllReleased();
 });
 
 test("one engine refuses its part", async () => {
     // Another entry reserved the memory a moment earlier. The reservations that succeeded must be released.
     const entry = await site.start("entry-1");
-    let refusals = 2;
+    let remainingRefusals = 2;
     for (const replica of replicas) {
         replica.orderFault = ({ operation }, response) => {
-            if (operation !== "reserve" || refusals === 0) {
+            if (operation !== "reserve" || remainingRefusals === 0) {
                 return false;
             }
-            refusals--;
+            remainingRefusals--;
             response.writeHead(409).end("{}");
             return true;
         };
     }
-    expect((await ask(entry)).status).toBe(200);
-    await noneLeft();
+    expect((await sendLargePrompt(entry)).status).toBe(200);
+    await untilAllReleased();
 });
 
 test("reservation without an answer", async () => {
     // The engine reserves the memory and its response is lost. Without a release the memory would stay reserved and unused.
     const entry = await site.start("entry-1");
-    let lost = 1;
+    let remainingLosses = 1;
     for (const [index, replica] of replicas.entries()) {
         const engine = [...site.engines.values()][index]!;
         replica.orderFault = ({ operation, id, tokens }, response) => {
-            if (operation !== "reserve" || lost === 0) {
+            if (operation !== "reserve" || remainingLosses === 0) {
                 return false;
             }
-            lost--;
+            remainingLosses--;
             engine.reserve(id, tokens ?? 0, 1_900, false);
             response.destroy();
             return true;
         };
     }
-    expect((await ask(entry)).status).toBe(200);
-    await noneLeft();
+    expect((await sendLargePrompt(entry)).status).toBe(200);
+    await untilAllReleased();
 });
 
 test("caller leaves while its prompt is read", async () => {
     const entry = await site.start("entry-1");
-    const leaving = new AbortController();
-    const asked = ask(entry, leaving.signal).catch(() => undefined);
+    const disconnect = new AbortController();
+    const pendingCall = sendLargePrompt(entry, disconnect.signal).catch(() => undefined);
     await until(() => replicas.some(({ arrivals }) => arrivals.length > 0));
-    expect(reservations()).toBeGreaterThan(0);
-    leaving.abort();
-    await asked;
-    await noneLeft();
+    expect(reservationCount()).toBeGreaterThan(0);
+    disconnect.abort();
+    await pendingCall;
+    await untilAllReleased();
 });
 
 test("entry dies while its prompt is read", async () => {
@@ -107,7 +107,7 @@
     for (const replica of replicas) {
         replica.fault = () => true;
     }
-    const asked = ask(entry).catch(() => undefined);
+    const pendingCall = sendLargePrompt(entry).catch(() => undefined);
     await until(() => replicas.some(({ arrivals }) => arrivals.length > 0));
     for (const replica of replicas) {
         replica.orderFault = ({ id }, response) => {
@@ -116,13 +116,13 @@
         };
     }
     await entry.entry.close();
-    await asked;
-    expect(reservations()).toBeGreaterThan(0);
+    await pendingCall;
+    expect(reservationCount()).toBeGreaterThan(0);
     await until(() => {
         for (const engine of site.engines.values()) {
             expect(engine.memoryUsed).toBeGreaterThanOrEqual(0);
         }
-        return reservations() === 0;
+        return reservationCount() === 0;
     });
 });
 
@@ -146,5 +146,5 @@
     expect(eventIds(answer.body)).toHaveLength(750);
     // A cut stream would continue at another engine and still be complete, so the arrivals are counted.
     expect(replicas.flatMap(({ arrivals }) => arrivals)).toHaveLength(1);
-    await noneLeft();
+    await untilAllReleased();
 });
--- a/__tests__/forwarding/program.test.ts
+++ b/__tests__/forwarding/program.test.ts
@@ -86,11 +86,11 @@
         env: { ...process.env, DANDELIONRAMP_SETTINGS: settingsFile },
     });
     child = started;
-    const take = (chunk: Buffer) => {
+    const appendOutput = (chunk: Buffer) => {
         output += chunk.toString("utf8");
     };
-    started.stdout.on("data", take);
-    started.stderr.on("data", take);
+    started.stdout.on("data", appendOutput);
+    started.stderr.on("data", appendOutput);
     return new Promise(resolve => started.once("exit", code => resolve(code ?? undefined)));
 };
 
@@ -103,8 +103,8 @@
     });
 
 const untilReadinessIs = async (status: number): Promise<void> => {
-    const looks = 500;
-    for (let look = 0; look < looks && await readiness() !== status; look++) {
+    const attempts = 500;
+    for (let attempt = 0; attempt < attempts && await readiness() !== status; attempt++) {
         await systemClock.sleep(20);
     }
     expect(await readiness()).toBe(status);
@@ -117,7 +117,7 @@
     await untilReadinessIs(200);
     writeFileSync(settingsFile, await settingsText({ "bounds.budget_extra": "7" }));
     child!.kill("SIGHUP");
-    for (let look = 0; look < 200 && !output.includes("The settings were read again."); look++) {
+    for (let attempt = 0; attempt < 200 && !output.includes("The settings were read again."); attempt++) {
         await systemClock.sleep(20);
     }
     expect(output).toContain("\"extra\":7");
--- a/__tests__/forwarding/requests.test.ts
+++ b/__tests__/forwarding/requests.test.ts
@@ -53,9 +53,9 @@
 test("time left is handed on", async () => {
     const { replica, entry } = await bookings();
     await call(entry.callers, "/lookups/a", { headers: { "dandelionramp-deadline-ms": "1500" } });
-    const handed = Number(replica.arrivals[0]!.headers["dandelionramp-deadline-ms"]);
-    expect(handed).toBeGreaterThan(0);
-    expect(handed).toBeLessThanOrEqual(1_500);
+    const forwardedDeadline = Number(replica.arrivals[0]!.headers["dandelionramp-deadline-ms"]);
+    expect(forwardedDeadline).toBeGreaterThan(0);
+    expect(forwardedDeadline).toBeLessThanOrEqual(1_500);
 });
 
 test("route's timeout bounds what is handed on", async () => {
@@ -130,7 +130,7 @@
 });
 
 test("booking isn't sent again after a broken answer", async () => {
-    // The replica books the place and dies before its response is sent. A second attempt would charge the customer twice.
+    // The replica books the place and dies before its response is sent. A second attempt would book and charge twice.
     const { replica, entry } = await bookings();
     await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
@@ -152,11 +152,11 @@
     const { replica, entry } = await bookings();
     const other = await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
-    let broken = 0;
+    let responseCount = 0;
     for (const each of [replica, other]) {
         each.fault = (...[, response]) => {
-            broken++;
-            if (broken > 1) {
+            responseCount++;
+            if (responseCount > 1) {
                 return false;
             }
             response.socket?.destroy();
@@ -276,12 +276,15 @@
 
 test("caller who leaves cancels the work", async () => {
     const { first, second, entry } = await models();
-    const leaving = new AbortController();
-    const left = call(entry.callers, "/replies/a", { headers: generation(1_000, 40_000), signal: leaving.signal })
+    const disconnect = new AbortController();
+    const pendingCall = call(entry.callers, "/replies/a", {
+        headers: generation(1_000, 40_000),
+        signal: disconnect.signal,
+    })
         .catch(() => undefined);
     await until(() => first.runs.size + second.runs.size === 1);
-    leaving.abort();
-    await left;
+    disconnect.abort();
+    await pendingCall;
     await until(() => first.cancelled.length + second.cancelled.length === 1);
     await until(() => [...site.engines.values()].every(engine => engine.active === 0));
 });
@@ -296,22 +299,22 @@
         socket.once("close", () => end ??= "closed");
         return true;
     };
-    const leaving = new AbortController();
-    const left = call(entry.callers, "/lookups/a", { signal: leaving.signal }).catch(() => undefined);
+    const disconnect = new AbortController();
+    const pendingCall = call(entry.callers, "/lookups/a", { signal: disconnect.signal }).catch(() => undefined);
     await until(() => replica.arrivals.length === 1);
-    leaving.abort();
-    await left;
+    disconnect.abort();
+    await pendingCall;
     await until(() => end !== undefined);
     expect(end).toBe("ECONNRESET");
 });
 
 test("long prompt is prefilled with a helper", async () => {
-    const slow = { readTokensPerSecond: 40_000 };
+    const slowPrefill = { readTokensPerSecond: 40_000 };
     for (const id of ["m-1", "m-2", "m-3"]) {
-        await site.replica(id, "models", "north-a", { ...quickEngine, ...slow });
+        await site.replica(id, "models", "north-a", { ...quickEngine, ...slowPrefill });
     }
     const configuration = operatorConfiguration(1);
-    configuration.services[1]!.engine!.read_per_s = slow.readTokensPerSecond;
+    configuration.services[1]!.engine!.read_per_s = slowPrefill.readTokensPerSecond;
     site.store.model.put("config", "main", configuration);
     const entry = await site.start("entry-1");
     await until(() => entry.entry.directory.usable("models").length === 3);
@@ -328,33 +331,33 @@
     site.configure(1, { replies: { timeout_ms: 8_000 } });
     const entry = await site.start("entry-1");
     const headers = { ...generation(1_000, 2_400), "dandelionramp-deadline-ms": "8000" };
-    const leaving = new AbortController();
-    let ended = 0;
-    const running = [...Array(12).keys()].map(() =>
-        call(entry.callers, "/replies/a", { headers, signal: leaving.signal })
-            .then(answer => ended += answer.status === 200 ? 1 : 0)
+    const disconnect = new AbortController();
+    let completedCount = 0;
+    const runningCalls = [...Array(12).keys()].map(() =>
+        call(entry.callers, "/replies/a", { headers, signal: disconnect.signal })
+            .then(answer => completedCount += answer.status === 200 ? 1 : 0)
             .catch(() => undefined)
     );
     await systemClock.sleep(200);
-    const refused = await call(entry.callers, "/replies/a", { id: "late", headers });
-    expect(refused.status).toBe(503);
-    expect(ended).toBe(0);
-    expect(Number(refused.headers["retry-after"])).toBeGreaterThan(0.2);
-    expect(JSON.parse(refused.body)).toMatchObject({ execution: "not-run" });
+    const rejected = await call(entry.callers, "/replies/a", { id: "late", headers });
+    expect(rejected.status).toBe(503);
+    expect(completedCount).toBe(0);
+    expect(Number(rejected.headers["retry-after"])).toBeGreaterThan(0.2);
+    expect(JSON.parse(rejected.body)).toMatchObject({ execution: "not-run" });
     expect(site.replicas.get("m-1")!.arrivals.some(({ id }) => id === "late")).toBe(false);
-    leaving.abort();
-    await Promise.all(running);
+    disconnect.abort();
+    await Promise.all(runningCalls);
 });
 
 test("dead helper isn't chosen again", async () => {
     // An engine has died and is still listed. Engines that prefill a long prompt with its help refuse in its place and name it.
     // If the entry ignored the name, the next attempt would get the same dead helper, and the request would fail.
-    const slow = { ...quickEngine, readTokensPerSecond: 20_000 };
+    const slowPrefill = { ...quickEngine, readTokensPerSecond: 20_000 };
     for (const id of ["m-1", "m-2", "m-3", "m-4"]) {
-        await site.replica(id, "models", "north-a", slow);
+        await site.replica(id, "models", "north-a", slowPrefill);
     }
     const configuration = operatorConfiguration(1);
-    configuration.services[1]!.engine!.read_per_s = slow.readTokensPerSecond;
+    configuration.services[1]!.engine!.read_per_s = slowPrefill.readTokensPerSecond;
     configuration.routes[3] = { ...configuration.routes[3]!, timeout_ms: 8_000, attempts: 2 };
     site.store.model.put("config", "main", configuration);
     const entry = await site.start("entry-1");
--- a/__tests__/forwarding/samePort.test.ts
+++ b/__tests__/forwarding/samePort.test.ts
@@ -4,7 +4,7 @@
 import { listenOnSamePort } from "../../src/utils/samePort.js";
 import { Site } from "./support/site.js";
 
-const opener = (numbers: string[]) => {
+const createOpener = (numbers: string[]) => {
     const closed: string[] = [];
     const open = () => {
         const address = `127.0.0.1:${numbers.shift()}`;
@@ -22,7 +22,7 @@
 test("port number that is taken for the second listener", async () => {
     // The system picks a free TCP port. Another process uses the same number for UDP, and without another try the entry would
     // exit at its start.
-    const { open, closed } = opener(["4001", "4002", "4003"]);
+    const { open, closed } = createOpener(["4001", "4002", "4003"]);
     const taken = new Set(["127.0.0.1:4001", "127.0.0.1:4002"]);
     const second = (address: string) => taken.has(address) ? Promise.reject(new Error("in use")) : Promise.resolve();
     expect((await listenOnSamePort("127.0.0.1:0", open, second)).address).toBe("127.0.0.1:4003");
@@ -30,7 +30,7 @@
 });
 
 test("explicit port is not replaced", async () => {
-    const { open, closed } = opener(["4001", "4002"]);
+    const { open, closed } = createOpener(["4001", "4002"]);
     const second = () => Promise.reject(new Error("in use"));
     await expect(listenOnSamePort("127.0.0.1:4001", open, second)).rejects.toThrow("in use");
     expect(closed).toEqual(["127.0.0.1:4001"]);
--- a/__tests__/forwarding/settings.test.ts
+++ b/__tests__/forwarding/settings.test.ts
@@ -8,7 +8,7 @@
 
 const template = readFileSync(path.resolve(import.meta.dirname, "../../platform/entry.ini"), "utf8");
 
-const usual: Record<string, string> = {
+const defaultFields: Record<string, string> = {
     node_name: "edge-north-1",
     zone: "north",
     ip: "10.1.0.40",
@@ -28,34 +28,41 @@
     "limits.cpu_share": "0.675",
 };
 
-const filledIn = (changes: Record<string, string> = {}) => {
-    const fields = { ...usual, ...changes };
+const parseFilledTemplate = (changes: Record<string, string> = {}) => {
+    const fields = { ...defaultFields, ...changes };
     const text = template.replace(/\{\{([^}]+)\}\}/g, (whole, name: string) => fields[name] ?? whole);
     return parseSettings("entry.ini", text, forwardingSettingsSchema);
 };
 
 test("usual settings", () => {
-    const settings = filledIn();
+    const settings = parseFilledTemplate();
     expect(settings.listen.metrics).toBe("10.1.0.40:7341");
     expect(settings.repeats).toEqual({ share: 0.2, windowSeconds: 10, extra: 100 });
     expect(settings.peers).toEqual({ seeds: ["10.1.0.40:7340", "10.2.0.29:7340"], firstStart: true });
 });
 
 test("platform that names no other entries", () => {
-    expect(filledIn({ seeds: "", bootstrap: "" }).peers).toEqual({ seeds: [], firstStart: false });
-    expect(filledIn({ bootstrap: "false" }).peers.firstStart).toBe(false);
+    expect(parseFilledTemplate({ seeds: "", bootstrap: "" }).peers).toEqual({ seeds: [], firstStart: false });
+    expect(parseFilledTemplate({ bootstrap: "false" }).peers.firstStart).toBe(false);
 });
 
 test("fractions with many digits", () => {
     // The platform computes a bound by a division and writes all its digits. An entry that accepted only nine of them would
     // exit at each start, on all instances.
-    const settings = filledIn({ "bounds.budget_extra": "50.806451612903224", "bounds.cold_overage": "1e-05" });
+    const settings = parseFilledTemplate({
+        "bounds.budget_extra": "50.806451612903224",
+        "bounds.cold_overage": "1e-05",
+    });
     expect(settings.repeats.extra).toBeCloseTo(50.806);
     expect(settings.cold.factor).toBe(0.00001);
 });
 
 test("bounds that the platform doesn't set", () => {
-    const settings = filledIn({ "bounds.budget_extra": "", "bounds.cold_overage": "", "bounds.grace_s": "" });
+    const settings = parseFilledTemplate({
+        "bounds.budget_extra": "",
+        "bounds.cold_overage": "",
+        "bounds.grace_s": "",
+    });
     expect(settings.repeats.extra).toBe(50);
     expect(settings.cold.factor).toBe(1);
     expect(settings.stop.graceSeconds).toBe(8);
@@ -64,6 +71,6 @@
 for (const value of ["-1", "ten", "1.", ".5", "1e999", "0x10", "NaN"]) {
     test(`no number: "${value}"`, () => {
         expect(nonNegative(value)).toBeUndefined();
-        expect(() => filledIn({ "bounds.budget_extra": value })).toThrow(/\[repeats\].*extra/);
+        expect(() => parseFilledTemplate({ "bounds.budget_extra": value })).toThrow(/\[repeats\].*extra/);
     });
 }
--- a/__tests__/forwarding/stop.test.ts
+++ b/__tests__/forwarding/stop.test.ts
@@ -52,7 +52,7 @@
 test("kept connection is closed after its next answer", async () => {
     const { entry, callers } = await site.start("entry-1");
     const agent = new http.Agent({ keepAlive: true });
-    const ask = (): Promise<string | undefined> =>
+    const sendOnKeptConnection = (): Promise<string | undefined> =>
         new Promise((resolve, reject) => {
             const headers = {
                 host: "desk.example",
@@ -65,9 +65,9 @@
                 response.on("end", () => resolve(response.headers.connection));
             }).on("error", reject);
         });
-    expect(await ask()).toBe("keep-alive");
+    expect(await sendOnKeptConnection()).toBe("keep-alive");
     const stopped = entry.stop();
-    expect(await ask()).toBe("close");
+    expect(await sendOnKeptConnection()).toBe("close");
     await stopped;
     agent.destroy();
 });
--- a/__tests__/forwarding/support/site.ts
+++ b/__tests__/forwarding/support/site.ts
@@ -30,7 +30,7 @@
     usual: undefined,
 };
 
-const wireEngine = (engine: EngineProfile) => ({
+const toPlatformEngine = (engine: EngineProfile) => ({
     slots: engine.slots,
     kv_capacity: engine.memoryTokens,
     step_ms: engine.stepTime,
@@ -80,7 +80,7 @@
                 health_path: "/healthz",
                 max_connections: 96,
                 cold_per_s: 20,
-                engine: wireEngine(quickEngine),
+                engine: toPlatformEngine(quickEngine),
             },
         ],
         limits: { max_header_bytes: 4_096, max_body_bytes: 20_000, header_timeout_ms: 500, idle_timeout_ms: 5_000 },
@@ -225,18 +225,18 @@
     }
 
     private partLog(entry: string, part: string): PartLog {
-        const take = (message: string, fields: Record<string, unknown> = {}) => {
+        const recordLine = (message: string, fields: Record<string, unknown> = {}) => {
             this.lines.push({ entry, message: `${part}: ${message}`, fields });
         };
-        return { info: take, warn: take, error: take };
+        return { info: recordLine, warn: recordLine, error: recordLine };
     }
 }
 
 /** Waits until `holds` returns true, for at most five seconds. */
 export const until = async (holds: () => boolean): Promise<void> => {
-    const limit = 5_000;
-    for (const begun = Date.now(); !holds();) {
-        if (Date.now() - begun > limit) {
+    const timeout = 5_000;
+    for (const startedAt = Date.now(); !holds();) {
+        if (Date.now() - startedAt > timeout) {
             throw new Error("the condition did not hold within five seconds");
         }
         await systemClock.sleep(5);
@@ -244,7 +244,7 @@
 };
 
 /** A response as a caller receives it. */
-export interface CallerAnswer {
+export interface CallerResponse {
     status: number;
     headers: http.IncomingHttpHeaders;
     body: string;
@@ -266,9 +266,9 @@
 }
 
 /** Sends a request as a caller does. Rejects only when no response starts. */
-export const call = (address: string, target: string, options: CallerOptions = {}): Promise<CallerAnswer> =>
+export const call = (address: string, target: string, options: CallerOptions = {}): Promise<CallerResponse> =>
     new Promise((resolve, reject) => {
-        const begun = Date.now();
+        const startedAt = Date.now();
         const request = http.request({
             ...splitAddress(address),
             method: options.method ?? "POST",
@@ -292,7 +292,7 @@
                     headers: response.headers,
                     body: Buffer.concat(chunks).toString("utf8"),
                     whole,
-                    took: Date.now() - begun,
+                    took: Date.now() - startedAt,
                 });
             response.on("data", (chunk: Buffer) => chunks.push(chunk));
             response.on("end", () => finish(true));
--- a/src/core/forwarding/attempts.ts
+++ b/src/core/forwarding/attempts.ts
@@ -2,7 +2,7 @@
 
 /** The attempts of one request so far. */
 export class Attempts {
-    /** Endpoints that failed after they may have begun the request. They get it again only when there is no other. */
+    /** Endpoints that failed after they may have begun the request. They receive it again only when there is no other. */
     readonly brokenEndpoints = new Set<string>();
     /** Endpoints that refused the request or could not be reached. */
     readonly refusedEndpoints = new Set<string>();
@@ -20,14 +20,14 @@
         this.countedAttempts++;
     }
 
-    /** Takes the last attempt out of the count because it reached no endpoint of the route. */
-    discountLast(): void {
+    /** Excludes the last attempt from the count because it reached no endpoint of the route. */
+    excludeLastFromCount(): void {
         this.countedAttempts--;
     }
 
     /** Records endpoints that could not reserve memory. Nothing was sent, so the attempt does not count. */
     recordMemoryShortage(endpoints: readonly string[]): void {
-        this.discountLast();
+        this.excludeLastFromCount();
         this.endpointsWithoutMemory = new Set([...this.endpointsWithoutMemory, ...endpoints]);
     }
 
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -41,7 +41,7 @@
     private readonly search: EndpointSearch;
     /** Whether a retry was taken from the budget when a stalled endpoint was abandoned. */
     private hasReservedRetry = false;
-    /** The failure response of an endpoint, passed on when no other attempt succeeds. */
+    /** The last failure response of an endpoint, sent to the caller when no other attempt succeeds. */
     private failureResponse: BufferedResponse | undefined;
 
     constructor(
@@ -54,7 +54,7 @@
         this.search = new EndpointSearch(this.progress);
     }
 
-    /** Runs the request to its end. Throws {@link RequestFailure} when there is no response to pass on. */
+    /** Runs the request to its end. Throws {@link RequestFailure} when there is no response for the caller. */
     async run(): Promise<void> {
         const end = () => this.progress.end();
         this.progress.exchange.disconnected.addEventListener("abort", end, { once: true });
@@ -94,7 +94,7 @@
                 return false;
             case "Unreached":
                 this.recordUnreached(endpoint, outcome.connectionRefused);
-                attempts.discountLast();
+                attempts.excludeLastFromCount();
                 attempts.recordRefused(id);
                 this.progress.log("An endpoint can't be reached.", endpoint, { reason: outcome.reason });
                 this.throwIfOutOfPatience("no endpoint could be reached");
@@ -157,7 +157,7 @@
         }
         if (atFault && atFault.record.id !== id) {
             failureTracker.recordLost(atFault);
-            attempts.discountLast();
+            attempts.excludeLastFromCount();
             attempts.recordRefused(atFault.record.id);
             this.retryOrFail(FailureKind.Overloaded, "a helper endpoint of the chosen endpoint is gone");
             return;
@@ -166,7 +166,7 @@
         if (outcome.reason === RefusalReason.WrongEndpoint) {
             // The address belongs to another endpoint now, so the chosen endpoint was never reached.
             failureTracker.recordLost(endpoint);
-            attempts.discountLast();
+            attempts.excludeLastFromCount();
             this.throwIfOutOfPatience("the listed addresses belong to other endpoints");
             return;
         }
@@ -330,7 +330,7 @@
     }
 
     /**
-     * Ends a request without a successful response: cuts a started stream, passes an endpoint's failure response on, or
+     * Ends a request without a successful response: cuts a started stream, sends the failure response of an endpoint, or
      * rethrows `error`.
      */
     private finishWithoutResponse(error: unknown): void {
--- a/src/core/forwarding/sender.ts
+++ b/src/core/forwarding/sender.ts
@@ -50,14 +50,16 @@
     /** Timeout for the first event, or for a response that is not streamed. */
     firstEventTimeout: Milliseconds;
     eventGapTimeout: Milliseconds;
-    /** Called after a timeout. Resolves with whether the request may go to another endpoint; otherwise the wait goes on. */
+    /**
+     * Called after a timeout. Resolves with whether the request may go to another endpoint; if not, the attempt keeps waiting.
+     */
     mayAbandon: () => Promise<boolean>;
 }
 
 /** Outcome of an attempt. */
 export type DispatchOutcome =
     | AttemptOutcome
-    /** The endpoint sent nothing for so long that the request goes elsewhere. */
+    /** The endpoint stalled for so long that the request is sent to another one. */
     | { type: "Silent"; reason: string; }
     /** These endpoints could not reserve memory; nothing was sent. */
     | { type: "NoMemory"; endpointsWithoutMemory: string[]; };
