--- a/__tests__/forwarding/demand.test.ts
+++ b/__tests__/forwarding/demand.test.ts
@@ -11,7 +11,7 @@
     const demand = new Demand(clock);
     for (let request = 0; request < 2 * perSecond; request++) {
         await clock.run(request / perSecond * 1_000);
-        demand.note("models", 30, 1.4);
+        demand.recordRequest("models", 30, 1.4);
     }
     return demand;
 };
@@ -31,7 +31,7 @@
 test("what brings most for its time goes first", async () => {
     const demand = await askedFor(60);
     for (let request = 0; request < 5; request++) {
-        demand.note("models", 5_000, 20);
+        demand.recordRequest("models", 5_000, 20);
     }
     expect(demand.price("models", 15, slotTime)).toBeCloseTo(20 / 5_170);
 });
--- a/__tests__/forwarding/engineBelief.test.ts
+++ b/__tests__/forwarding/engineEstimate.test.ts
@@ -32,7 +32,7 @@
         const work: EngineWork = { id, promptTokens, events, from: 0, priority: 1, helpers: [] };
         void this.real.run(work, event => this.note(id, event), new AbortController().signal).catch(() => {});
         const pairs = promptTokens * promptTokens / 2 / 1_000_000;
-        this.view.place({
+        this.view.recordPlaced({
             id,
             owner: "entry-1",
             endpoint: "e",
@@ -50,14 +50,14 @@
 
     /** Time until a prompt that came now would begin to be read. */
     get wait(): number {
-        const { passLeft, readBacklog } = this.view.load("e");
-        return passLeft + readBacklog;
+        const { remainingPassTime, prefillBacklog } = this.view.loadOf("e");
+        return remainingPassTime + prefillBacklog;
     }
 
     private note(id: string, event: number): void {
         if (event === 1) {
             this.firstEvents.set(id, this.clock.now());
-            this.view.writes("e", id);
+            this.view.recordWriting("e", id);
         }
     }
 }
@@ -86,7 +86,7 @@
     fixture.real.slowness = 20;
     fixture.send("stalled", 2_000);
     await fixture.clock.run(150);
-    expect(fixture.view.load("e").overdue).toBe(50);
+    expect(fixture.view.loadOf("e").overdueTime).toBe(50);
 });
 
 test("endpoint that answers others isn't overdue", async () => {
@@ -110,10 +110,10 @@
         firstEventIn: 100,
         endsBy: 60_000,
     };
-    view.place(work);
-    view.place({ ...work, id: "heard" });
+    view.recordPlaced(work);
+    view.recordPlaced({ ...work, id: "heard" });
     await fixture.clock.run(800);
-    view.writes("e", "heard");
+    view.recordWriting("e", "heard");
     await fixture.clock.run(850);
-    expect(view.load("e").overdue).toBe(50);
+    expect(view.loadOf("e").overdueTime).toBe(50);
 });
--- a/__tests__/forwarding/peerNews.test.ts
+++ b/__tests__/forwarding/peerNews.test.ts
@@ -142,7 +142,7 @@
             endsBy: 60_000,
         }]);
         const placers = site.members.filter(({ peers }) => peers.placers().self);
-        const known = () => placers.filter(({ loads }) => loads.load("e").requests === 1).length;
+        const known = () => placers.filter(({ loads }) => loads.loadOf("e").requestCount === 1).length;
         // As long as a caller can wait for its placement to be known: a tenth of the shortest target.
         await site.clock.run(5_030);
         expect(placers.length).toBeGreaterThan(1);
--- a/__tests__/forwarding/peers.test.ts
+++ b/__tests__/forwarding/peers.test.ts
@@ -41,7 +41,7 @@
     // Too long to be read beside writers, so that it doesn't matter how far the first has come.
     const promptTokens = 90_000;
     const long = call(first.callers, "/replies/a", { headers: generation(promptTokens, 1_200) });
-    const believed = () => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requests > 0);
+    const believed = () => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requestCount > 0);
     await until(() => believed() && [...site.replicas.values()].some(replica => replica.arrivals.length > 0));
     const taken = [...site.replicas.values()].find(replica => replica.arrivals.length > 0)!;
     await call(second.callers, "/replies/a", { headers: generation(promptTokens, 8) });
@@ -93,10 +93,10 @@
     // idle, and sends short prompts behind long reads.
     const first = await site.start("entry-1");
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_000) });
-    await until(() => [...site.replicas.keys()].some(id => first.entry.loadOf(id).requests > 0));
-    const taken = [...site.replicas.keys()].find(id => first.entry.loadOf(id).requests > 0)!;
+    await until(() => [...site.replicas.keys()].some(id => first.entry.loadOf(id).requestCount > 0));
+    const taken = [...site.replicas.keys()].find(id => first.entry.loadOf(id).requestCount > 0)!;
     const second = await site.start("entry-2");
-    await until(() => second.entry.loadOf(taken).requests === 1);
+    await until(() => second.entry.loadOf(taken).requestCount === 1);
     await long;
 });
 
@@ -107,14 +107,14 @@
     const second = await site.start("entry-2");
     await until(() => knows("entry-1", "entry-2") && knows("entry-2", "entry-1"));
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_500) });
-    await until(() => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requests > 0));
-    const taken = [...site.replicas.keys()].find(id => second.entry.loadOf(id).requests > 0)!;
+    await until(() => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requestCount > 0));
+    const taken = [...site.replicas.keys()].find(id => second.entry.loadOf(id).requestCount > 0)!;
     void first.entry.stop();
     const stopped = () => site.lines.some(({ entry, message }) => entry === "entry-2" && /is stopping/.test(message));
     await until(stopped);
     // Long enough for its next sign of life.
     await systemClock.sleep(700);
-    expect(second.entry.loadOf(taken).requests).toBe(1);
+    expect(second.entry.loadOf(taken).requestCount).toBe(1);
     expect(timesMet("entry-2", "entry-1")).toBe(1);
     await long;
 });
--- a/__tests__/forwarding/placement.test.ts
+++ b/__tests__/forwarding/placement.test.ts
@@ -6,12 +6,12 @@
     type PlacementRequirements,
     requestValue,
 } from "../../src/core/placement/endpointSelector.js";
-import { readTime } from "../../src/core/placement/engineCost.js";
+import { prefillDuration } from "../../src/core/placement/engineCost.js";
 import { type PlacedWork, WorkPart } from "../../src/core/placement/engineEstimate.js";
 import { FailureTracker } from "../../src/core/placement/failureTracker.js";
 import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
 import { SharedLoadEstimator } from "../../src/core/placement/sharedLoadEstimator.js";
-import { readPart } from "../../src/core/placement/team.js";
+import { minimumPartRatio } from "../../src/core/placement/team.js";
 import { EndpointState, type EngineProfile, type ServiceDefinition } from "../../src/types/routing.js";
 import type { Clock } from "../../src/utils/clock.js";
 import { seededRandom } from "../../src/utils/random.js";
@@ -87,9 +87,9 @@
             targetLeft: short ? 300 : 3_000,
             patienceLeft: short ? 2_000 : 12_000,
             dataCentre: "a",
-            broken: new Set(),
-            refused: new Set(),
-            lacking: new Set(),
+            failedEndpoints: new Set(),
+            rejectedEndpoints: new Set(),
+            endpointsWithoutMemory: new Set(),
             ...changes,
         };
     }
@@ -105,7 +105,7 @@
             const helping = held.has(known) ? WorkPart.Hold : WorkPart.Read;
             const part = known === endpoint ? WorkPart.Main : helping;
             const placed = this.work(known.record.id, work, need, placement.readTime, part);
-            this.loads.place({ ...placed, contextTokens: held.get(known) ?? promptTokens, yielding: yields });
+            this.loads.recordPlaced({ ...placed, contextTokens: held.get(known) ?? promptTokens, yielding: yields });
         }
         return { id: endpoint.record.id, helpers: helpers.length, firstEvent, yields, work };
     }
@@ -121,8 +121,8 @@
 
     /** Time until an endpoint has read all that it was given. */
     readWait(endpoint: string): number {
-        const { passLeft, readBacklog } = this.loads.load(endpoint);
-        return passLeft + readBacklog;
+        const { remainingPassTime, prefillBacklog } = this.loads.loadOf(endpoint);
+        return remainingPassTime + prefillBacklog;
     }
 
     work(
@@ -154,10 +154,10 @@
     const fixture = new Fixture(4);
     const long = fixture.place(200_000);
     expect(long.helpers).toBeGreaterThan(0);
-    fixture.loads.end(long.id, long.work);
+    fixture.loads.recordEnded(long.id, long.work);
     const busy = new Fixture(3);
     const need = busy.need(200_000);
-    busy.loads.place(busy.work("e-0", "long", need, 900));
+    busy.loads.recordPlaced(busy.work("e-0", "long", need, 900));
     for (let index = 0; index < 6; index++) {
         expect(busy.place(5_000).id).not.toBe("e-0");
     }
@@ -167,7 +167,7 @@
     // Writers of short replies tolerate pauses of 200 ms; a long read beside them stretches each pause to 400 ms.
     const fixture = new Fixture(3);
     const short = fixture.place(5_000);
-    fixture.loads.writes(short.id, short.work);
+    fixture.loads.recordWriting(short.id, short.work);
     fixture.time += 100;
     expect(fixture.place(60_000).id).not.toBe(short.id);
 });
@@ -180,7 +180,7 @@
         const { id, work } = fixture.place(5_000);
         used.add(id);
         fixture.time += 30;
-        fixture.loads.writes(id, work);
+        fixture.loads.recordWriting(id, work);
     }
     expect(used.size).toBeLessThanOrEqual(5);
 });
@@ -195,20 +195,20 @@
 test("long prompt gets idle helpers in even parts", () => {
     const fixture = new Fixture(20);
     const placed = fixture.place(300_000);
-    const alone = readTime(engine, 300_000);
+    const alone = prefillDuration(engine, 300_000);
     expect(alone).toBeGreaterThan(5_000);
     const { targetLatency } = fixture.need(300_000);
-    expect(placed.helpers).toBe(Math.ceil(alone / (readPart * targetLatency)) - 1);
+    expect(placed.helpers).toBe(Math.ceil(alone / (minimumPartRatio * targetLatency)) - 1);
     expect(placed.firstEvent).toBeLessThan(0.6 * targetLatency);
 });
 
 test("long read leaves writers alone while enough endpoints are idle", () => {
     const fixture = new Fixture(14);
     const short = fixture.place(5_000);
-    fixture.loads.writes(short.id, short.work);
+    fixture.loads.recordWriting(short.id, short.work);
     fixture.time += 100;
     const { readers } = fixture.team(300_000);
-    expect(readers).toHaveLength(Math.ceil(readTime(engine, 300_000) / (readPart * 3_000)));
+    expect(readers).toHaveLength(Math.ceil(prefillDuration(engine, 300_000) / (minimumPartRatio * 3_000)));
     expect(readers).not.toContain(short.id);
 });
 
@@ -218,8 +218,8 @@
     const fixture = new Fixture(3);
     const need = fixture.need(5_000);
     for (const writer of ["a", "b", "c", "d", "e", "f", "g"]) {
-        fixture.loads.place(fixture.work("e-0", writer, need, 20));
-        fixture.loads.writes("e-0", writer);
+        fixture.loads.recordPlaced(fixture.work("e-0", writer, need, 20));
+        fixture.loads.recordWriting("e-0", writer);
     }
     fixture.time += 200;
     expect(fixture.team(200_000).readers).not.toContain("e-0");
@@ -229,8 +229,8 @@
     // A long answer is being written with pauses of at most 800 ms. A part of the next long prompt there would make a pause
     // of a second, though its tokens alone would be read in a third of that.
     const fixture = new Fixture(4);
-    fixture.loads.place(fixture.work("e-0", "writing", fixture.need(210_000), 0));
-    fixture.loads.writes("e-0", "writing");
+    fixture.loads.recordPlaced(fixture.work("e-0", "writing", fixture.need(210_000), 0));
+    fixture.loads.recordWriting("e-0", "writing");
     expect(fixture.team(250_000).readers).not.toContain("e-0");
 });
 
@@ -260,8 +260,8 @@
     const need = fixture.need(5_000);
     for (let index = 0; index < 60; index++) {
         const endpoint = `e-${index % 8}`;
-        fixture.loads.place(fixture.work(endpoint, `w-${index}`, need, 20));
-        fixture.loads.writes(endpoint, `w-${index}`);
+        fixture.loads.recordPlaced(fixture.work(endpoint, `w-${index}`, need, 20));
+        fixture.loads.recordWriting(endpoint, `w-${index}`);
     }
     fixture.time += 500;
     const { readers } = fixture.team(1_000_000);
@@ -288,7 +288,7 @@
     expect(readers.every(id => fixture.endpoints.find(({ record }) => record.id === id)!.record.dataCentre === "b"))
         .toBe(true);
     fixture.failures.recordSucceeded(inA[4]!);
-    expect(fixture.failures.suspects("a")).toBe(false);
+    expect(fixture.failures.isSuspect("a")).toBe(false);
 });
 
 test("silent endpoints are no reason to pass over the others", () => {
@@ -296,9 +296,9 @@
     // the rest with half as much again.
     const fixture = new Fixture(12);
     for (const endpoint of fixture.endpoints.filter(({ record }) => record.dataCentre === "a").slice(0, 3)) {
-        fixture.failures.recordSilent(endpoint);
+        fixture.failures.recordUnresponsive(endpoint);
     }
-    expect(fixture.failures.suspects("a")).toBe(false);
+    expect(fixture.failures.isSuspect("a")).toBe(false);
 });
 
 test("endpoints lost here and there are no reason to pass over the others", () => {
@@ -306,8 +306,8 @@
     for (const endpoint of fixture.endpoints.slice(0, 4)) {
         fixture.failures.recordLost(endpoint);
     }
-    expect(fixture.failures.suspects("a")).toBe(false);
-    expect(fixture.failures.suspects("b")).toBe(false);
+    expect(fixture.failures.isSuspect("a")).toBe(false);
+    expect(fixture.failures.isSuspect("b")).toBe(false);
 });
 
 test("failing endpoint gets less", () => {
@@ -325,28 +325,28 @@
     const fixture = new Fixture(2);
     const place = (changes: Partial<PlacementRequirements>) =>
         fixture.placer.select(fixture.need(0, { service: desk, ...changes }), fixture.endpoints)?.endpoint.record.id;
-    expect(place({ refused: new Set(["e-0", "e-1"]) })).toBeUndefined();
-    expect(place({ refused: new Set(["e-0"]), broken: new Set(["e-1"]) })).toBe("e-1");
-    expect(place({ broken: new Set(["e-1"]) })).toBe("e-0");
+    expect(place({ rejectedEndpoints: new Set(["e-0", "e-1"]) })).toBeUndefined();
+    expect(place({ rejectedEndpoints: new Set(["e-0"]), failedEndpoints: new Set(["e-1"]) })).toBe("e-1");
+    expect(place({ failedEndpoints: new Set(["e-1"]) })).toBe("e-0");
 });
 
 test("end that overtakes its placement", () => {
     // Datagrams overtake one another. Work whose end came first would seem to go on for ten seconds.
     const fixture = new Fixture(1);
-    fixture.loads.end("e-0", "w");
-    fixture.loads.place(fixture.work("e-0", "w", fixture.need(5_000), 20));
-    expect(fixture.loads.load("e-0").requests).toBe(0);
+    fixture.loads.recordEnded("e-0", "w");
+    fixture.loads.recordPlaced(fixture.work("e-0", "w", fixture.need(5_000), 20));
+    expect(fixture.loads.loadOf("e-0").requestCount).toBe(0);
 });
 
 test("end that never came", () => {
     const fixture = new Fixture(1);
-    fixture.loads.place(fixture.work("e-0", "lost", fixture.need(5_000), 20));
-    fixture.loads.place(fixture.work("e-0", "kept", fixture.need(5_000), 20));
+    fixture.loads.recordPlaced(fixture.work("e-0", "lost", fixture.need(5_000), 20));
+    fixture.loads.recordPlaced(fixture.work("e-0", "kept", fixture.need(5_000), 20));
     fixture.time = 600;
-    fixture.loads.keepOnly("entry-1", new Set(["kept"]), 300);
-    expect(fixture.loads.load("e-0").requests).toBe(1);
+    fixture.loads.retainOnly("entry-1", new Set(["kept"]), 300);
+    expect(fixture.loads.loadOf("e-0").requestCount).toBe(1);
     fixture.time = 10_000;
-    expect(fixture.loads.load("e-0").requests).toBe(0);
+    expect(fixture.loads.loadOf("e-0").requestCount).toBe(0);
 });
 
 test("late work lets newcomers go first", () => {
@@ -363,11 +363,11 @@
     expect(yielding).toBeGreaterThan(5);
     fixture.time += 100;
     for (const { id, work } of works.slice(0, 22)) {
-        fixture.loads.writes(id, work);
+        fixture.loads.recordWriting(id, work);
     }
     fixture.time += 1_600;
     for (const { id, work } of works.slice(0, 4)) {
-        fixture.loads.end(id, work);
+        fixture.loads.recordEnded(id, work);
     }
     const newcomer = fixture.place(5_000);
     expect(newcomer.yields).toBe(false);
@@ -379,7 +379,7 @@
     // first are read last, and all are given up.
     const fixture = new Fixture(4);
     for (const endpoint of ["e-0", "e-1"]) {
-        fixture.loads.place(fixture.work(endpoint, `reading-${endpoint}`, fixture.need(200_000), 2_500));
+        fixture.loads.recordPlaced(fixture.work(endpoint, `reading-${endpoint}`, fixture.need(200_000), 2_500));
     }
     const { readers } = fixture.team(300_000);
     expect(readers).not.toContain("e-0");
@@ -388,8 +388,8 @@
 
 test("long prompt where all endpoints read waits behind the shortest backlog alone", () => {
     const fixture = new Fixture(2);
-    fixture.loads.place(fixture.work("e-0", "long", fixture.need(200_000), 2_500));
-    fixture.loads.place(fixture.work("e-1", "short", fixture.need(200_000), 900));
+    fixture.loads.recordPlaced(fixture.work("e-0", "long", fixture.need(200_000), 2_500));
+    fixture.loads.recordPlaced(fixture.work("e-1", "short", fixture.need(200_000), 900));
     expect(fixture.team(200_000).readers).toEqual(["e-1"]);
 });
 
@@ -398,8 +398,8 @@
     const fixture = new Fixture(2);
     for (let index = 0; index < 2 * engine.slots; index++) {
         const endpoint = `e-${index % 2}`;
-        fixture.loads.place(fixture.work(endpoint, `w-${index}`, fixture.need(5_000), 20));
-        fixture.loads.writes(endpoint, `w-${index}`);
+        fixture.loads.recordPlaced(fixture.work(endpoint, `w-${index}`, fixture.need(5_000), 20));
+        fixture.loads.recordWriting(endpoint, `w-${index}`);
     }
     fixture.time += 500;
     expect(fixture.team(200_000).readers).toHaveLength(1);
@@ -411,11 +411,11 @@
     // would be sent to an endpoint that reads nothing of it.
     const fixture = new Fixture(1);
     const need = fixture.need(300_000);
-    fixture.loads.place(fixture.work("e-0", "first", need, 3_000, WorkPart.Read));
+    fixture.loads.recordPlaced(fixture.work("e-0", "first", need, 3_000, WorkPart.Read));
     fixture.time = 700;
-    fixture.loads.place(fixture.work("e-0", "second", need, 3_000, WorkPart.Read));
+    fixture.loads.recordPlaced(fixture.work("e-0", "second", need, 3_000, WorkPart.Read));
     fixture.time = 4_500;
-    fixture.loads.end("e-0", "second");
+    fixture.loads.recordEnded("e-0", "second");
     expect(fixture.readWait("e-0")).toBe(1_500);
 });
 
@@ -424,22 +424,22 @@
     // they would get nothing just when a third of the endpoints is missing.
     const fixture = new Fixture(1);
     const need = fixture.need(300_000);
-    fixture.loads.place(fixture.work("e-0", "writer", need, 0));
-    fixture.loads.writes("e-0", "writer");
-    fixture.loads.place(fixture.work("e-0", "long", need, 5_000, WorkPart.Read));
+    fixture.loads.recordPlaced(fixture.work("e-0", "writer", need, 0));
+    fixture.loads.recordWriting("e-0", "writer");
+    fixture.loads.recordPlaced(fixture.work("e-0", "long", need, 5_000, WorkPart.Read));
     fixture.time = 1_000;
     expect(fixture.readWait("e-0")).toBeGreaterThan(3_000);
-    fixture.loads.end("e-0", "long");
+    fixture.loads.recordEnded("e-0", "long");
     expect(fixture.readWait("e-0")).toBeLessThan(100);
 });
 
 test("parts are done when their prompt is written", () => {
     const fixture = new Fixture(2);
     const need = fixture.need(300_000);
-    fixture.loads.place(fixture.work("e-0", "long", need, 3_000));
-    fixture.loads.place(fixture.work("e-1", "long", need, 3_000, WorkPart.Read));
+    fixture.loads.recordPlaced(fixture.work("e-0", "long", need, 3_000));
+    fixture.loads.recordPlaced(fixture.work("e-1", "long", need, 3_000, WorkPart.Read));
     fixture.time = 2_000;
-    fixture.loads.writes("e-0", "long");
+    fixture.loads.recordWriting("e-0", "long");
     expect(fixture.readWait("e-1")).toBe(0);
 });
 
@@ -450,8 +450,8 @@
     const usual = { promptTokens: 12_000, answerTokens: 1_600 };
     const service = { ...models, engine: { ...engine, usual } };
     for (let index = 0; index < engine.slots; index++) {
-        fixture.loads.place(fixture.work("e-0", `w-${index}`, fixture.need(5_000), 0));
-        fixture.loads.writes("e-0", `w-${index}`);
+        fixture.loads.recordPlaced(fixture.work("e-0", `w-${index}`, fixture.need(5_000), 0));
+        fixture.loads.recordWriting("e-0", `w-${index}`);
     }
     const firstEvent = (answerTokens: number) =>
         fixture.placer.select(fixture.need(5_000, { service, answerTokens }), fixture.endpoints)!.firstEvent;
@@ -463,12 +463,12 @@
     // until the first of them is given up.
     const fixture = new Fixture(3);
     const need = fixture.need(5_000);
-    fixture.loads.place({ ...fixture.work("e-0", "stalled", need, 20), firstEventIn: 100 });
+    fixture.loads.recordPlaced({ ...fixture.work("e-0", "stalled", need, 20), firstEventIn: 100 });
     for (const writer of ["a", "b", "c"]) {
-        fixture.loads.place(fixture.work("e-0", writer, need, 0));
+        fixture.loads.recordPlaced(fixture.work("e-0", writer, need, 0));
     }
     fixture.time = 1_000;
-    expect(fixture.loads.load("e-0").overdue).toBe(900);
+    expect(fixture.loads.loadOf("e-0").overdueTime).toBe(900);
     expect(fixture.place(5_000).id).not.toBe("e-0");
 });
 
@@ -498,7 +498,7 @@
     const fixture = new Fixture(6);
     expect(fixture.placer.select(doomed(fixture), fixture.endpoints)!.postponed).toBe(false);
     for (let request = 0; request < 120; request++) {
-        fixture.shared.demand.note("models", 25, requestValue(5_000));
+        fixture.shared.demand.recordRequest("models", 25, requestValue(5_000));
         fixture.time += 10;
     }
     expect(fixture.placer.select(doomed(fixture), fixture.endpoints)!.postponed).toBe(true);
@@ -512,8 +512,8 @@
     const fixture = new Fixture(2);
     const need = fixture.need(4_000);
     for (let writer = 0; writer < 10; writer++) {
-        fixture.loads.place(fixture.work("e-0", `w-${writer}`, need, 0));
-        fixture.loads.writes("e-0", `w-${writer}`);
+        fixture.loads.recordPlaced(fixture.work("e-0", `w-${writer}`, need, 0));
+        fixture.loads.recordWriting("e-0", `w-${writer}`);
     }
     fixture.time += 100;
     const long = fixture.need(260_000, { targetLeft: 2_500 });
--- a/__tests__/forwarding/placing.test.ts
+++ b/__tests__/forwarding/placementClient.test.ts
@@ -62,9 +62,9 @@
             metrics: new Metrics(),
             entry: "entry-1",
             directory,
-            cold: new ColdBudget(clock, () => ({ factor: 1, extra: 0 }), { size: 9, rank: () => 5 }),
+            coldBudget: new ColdBudget(clock, () => ({ factor: 1, extra: 0 }), { size: 9, rank: () => 5 }),
             limits: new EndpointLimits(clock, silentLog, { known: 9, rank: () => 5 }),
-            placer: new EndpointSelector(loads, new FailureTracker(clock), seededRandom(1)),
+            selector: new EndpointSelector(loads, new FailureTracker(clock), seededRandom(1)),
             loads,
             peers: {
                 placersToAsk: () => placers,
@@ -107,9 +107,9 @@
                 targetLeft: 200,
                 patienceLeft: 2_000,
                 dataCentre: "north",
-                broken: new Set(),
-                refused: new Set(),
-                lacking: new Set(),
+                failedEndpoints: new Set(),
+                rejectedEndpoints: new Set(),
+                endpointsWithoutMemory: new Set(),
             },
         };
     }
@@ -125,7 +125,7 @@
     const choice = fixture.placing.choose(fixture.request());
     fixture.answer("b");
     expect((await choice)!.endpoint.record.id).toBe("b");
-    expect(fixture.loads.load("b").requests).toBe(1);
+    expect(fixture.loads.loadOf("b").requestCount).toBe(1);
     expect(fixture.told).toEqual([]);
 });
 
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -152,7 +152,7 @@
 
     /** What this entry believes to be in progress at an endpoint. */
     loadOf(endpoint: string): EndpointLoad {
-        return this.core.loads.load(endpoint);
+        return this.core.loads.loadOf(endpoint);
     }
 
     /** Starts listening and following the store; resolves with the real addresses. */
--- a/src/core/budgets/endpointLimits.ts
+++ b/src/core/budgets/endpointLimits.ts
@@ -1,53 +1,53 @@
 /**
- * Limits that endpoints name in their answers: requests a second that they take from all entries together.
+ * Applies the rate limits that endpoints advertise in their responses: requests per second from all entries together.
  *
- * Load pattern: an endpoint in need answers as before and only asks for less. Each entry sees a part of what it gets, so each
- * keeps to a share, and the sum holds whatever happens to the messages between them. The newest word of an endpoint holds,
- * whichever entry heard it.
+ * Load pattern: an overloaded endpoint responds as before and only asks for fewer requests. Each entry sees only some of
+ * the endpoint's requests, so each keeps to a share of the limit, and the sum holds even when messages between entries
+ * are lost. The newest limit of an endpoint applies, whichever entry received it.
  */
 import type { AdvertisedLimit } from "../../ports/peerChannelPort.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { KeyedWindows } from "../../utils/keyedWindows.js";
 import type { PartLog } from "../../utils/log.js";
 
-/** Requests are counted over this span. */
-const span: Milliseconds = 4_000;
-const spanSeconds = span / 1_000;
-/** How far a limit may be passed in a span: a factor, and requests beside it. */
+/** Window over which requests are counted. */
+const countingWindow: Milliseconds = 4_000;
+const countingWindowSeconds = countingWindow / 1_000;
+/** How far requests in a window may exceed a limit: by a factor, and by a number of requests on top. */
 const excessFactor = 1.5;
 const excessExtra = 5;
-/** Part of that excess that is used; the rest covers entries that know different ones. */
-const usedPart = 0.8;
-/** A word that nobody has heard again for so long holds no more; a request then shows what holds. */
-const forgottenAfter: Milliseconds = 60_000;
+/** Share of that excess that is used; the rest is a reserve for entries that disagree on the number of entries. */
+const usableExcessRatio = 0.8;
+/** A limit that no response confirmed for this long expires; the next request then shows the current limit. */
+const limitLifetime: Milliseconds = 60_000;
 
-/** What an endpoint with a limit may still get. */
+/** How many requests an endpoint with a limit may still receive. */
 export enum Allowance {
-    /** What it named. */
+    /** The limit that the endpoint advertised. */
     Named = "named",
-    /** A little more, which it bears for a while. */
+    /** A little more, which the endpoint tolerates for a while. */
     Excess = "excess",
 }
 
 /** The entries that share a limit. */
 export interface KnownEntries {
-    /** How many are known, this one included. */
+    /** Number of known entries, this one included. */
     readonly known: number;
-    /** This entry's place for `key` among all, from 0. */
+    /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
 }
 
-/** The newest word of an endpoint. */
-interface Word {
-    /** Undefined where it names no limit any more. */
+/** The newest limit that an endpoint advertised. */
+interface ReceivedLimit {
+    /** Undefined where the endpoint has lifted its limit. */
     perSecond: number | undefined;
-    /** When it was heard, on the local clock. */
-    at: Milliseconds;
+    /** When the limit was received, on the local clock. */
+    receivedAt: Milliseconds;
 }
 
 /** The limits in force, and this entry's shares of them. */
 export class EndpointLimits {
-    private readonly words = new Map<string, Word>();
+    private readonly receivedLimits = new Map<string, ReceivedLimit>();
     private readonly sends: KeyedWindows;
 
     constructor(
@@ -55,91 +55,95 @@
         private readonly log: PartLog,
         private readonly entries: KnownEntries,
     ) {
-        this.sends = new KeyedWindows(clock, () => span);
+        this.sends = new KeyedWindows(clock, () => countingWindow);
     }
 
-    /** Endpoints that name a limit now. */
+    /** Number of endpoints with a limit now. */
     get count(): number {
-        return [...this.words.keys()].filter(endpoint => this.limitOf(endpoint) !== undefined).length;
+        return [...this.receivedLimits.keys()].filter(endpoint => this.limitOf(endpoint) !== undefined).length;
     }
 
-    /** The limit that `endpoint` names; undefined where it names none. */
+    /** The advertised limit of `endpoint`; undefined where it has none. */
     limitOf(endpoint: string): number | undefined {
-        const word = this.words.get(endpoint);
-        return word && this.clock.now() - word.at < forgottenAfter ? word.perSecond : undefined;
+        const limit = this.receivedLimits.get(endpoint);
+        return limit && this.clock.now() - limit.receivedAt < limitLifetime ? limit.perSecond : undefined;
     }
 
-    /** Whether `endpoint` may get one more request from this entry. */
+    /** Whether `endpoint` may receive one more request from this entry. */
     allows(endpoint: string, allowance: Allowance): boolean {
         const perSecond = this.limitOf(endpoint);
-        return perSecond === undefined || this.sends.count(endpoint) + 1 <= this.share(endpoint, perSecond, allowance);
+        return perSecond === undefined
+            || this.sends.count(endpoint) + 1 <= this.shareOfLimit(endpoint, perSecond, allowance);
     }
 
-    /** Time until this entry's share of what `endpoint` takes has room again. */
+    /** Time until this entry's share of the endpoint's limit has capacity again. */
     timeUntilCapacity(endpoint: string): Milliseconds {
         return this.sends.timeUntilExpiry(endpoint);
     }
 
-    /** Notes a request sent to any endpoint; its answer may name a limit. */
+    /** Records a request to any endpoint, as its response may advertise a limit. */
     recordSent(endpoint: string): void {
         this.sends.add(endpoint);
     }
 
-    /** Notes that an answer names a limit. */
+    /** Records a limit that a response advertises. */
     recordLimit(endpoint: string, perSecond: number): void {
-        this.take(endpoint, { perSecond, at: this.clock.now() });
+        this.storeLimit(endpoint, { perSecond, receivedAt: this.clock.now() });
     }
 
     /**
-     * Notes an answer without a limit to a request that was sent at `sentAt`. An answer that was under way when the endpoint
-     * named its limit doesn't lift it.
+     * Records a response without a limit to a request that was sent at `sentAt`. A response that was in flight when the
+     * endpoint advertised its limit doesn't lift the limit.
      */
     recordNoLimit(endpoint: string, sentAt: Milliseconds): void {
-        const word = this.words.get(endpoint);
-        if (word?.perSecond !== undefined && sentAt > word.at) {
-            this.take(endpoint, { perSecond: undefined, at: this.clock.now() });
+        const limit = this.receivedLimits.get(endpoint);
+        if (limit?.perSecond !== undefined && sentAt > limit.receivedAt) {
+            this.storeLimit(endpoint, { perSecond: undefined, receivedAt: this.clock.now() });
         }
     }
 
-    /** What the other entries are told. */
+    /** Returns the limits to send to other entries. */
     snapshot(): AdvertisedLimit[] {
         const now = this.clock.now();
-        const told: AdvertisedLimit[] = [];
-        for (const [endpoint, { perSecond, at }] of this.words) {
-            if (now - at >= forgottenAfter) {
-                this.words.delete(endpoint);
+        const limits: AdvertisedLimit[] = [];
+        for (const [endpoint, { perSecond, receivedAt }] of this.receivedLimits) {
+            if (now - receivedAt >= limitLifetime) {
+                this.receivedLimits.delete(endpoint);
                 continue;
             }
-            told.push({ endpoint, perSecond, age: Math.round(now - at) });
+            limits.push({ endpoint, perSecond, age: Math.round(now - receivedAt) });
         }
-        return told;
+        return limits;
     }
 
-    /** Takes what another entry tells. */
-    merge(told: readonly AdvertisedLimit[]): void {
+    /** Merges limits that another entry sent. */
+    merge(limits: readonly AdvertisedLimit[]): void {
         const now = this.clock.now();
-        for (const { endpoint, perSecond, age } of told) {
-            const at = now - age;
-            if (at > (this.words.get(endpoint)?.at ?? -Infinity)) {
-                this.take(endpoint, { perSecond, at });
+        for (const { endpoint, perSecond, age } of limits) {
+            const receivedAt = now - age;
+            if (receivedAt > (this.receivedLimits.get(endpoint)?.receivedAt ?? -Infinity)) {
+                this.storeLimit(endpoint, { perSecond, receivedAt });
             }
         }
     }
 
-    /** Whole requests for each entry; the first in turn get the rest, so that the shares of all sum up to the whole. */
-    private share(endpoint: string, perSecond: number, allowance: Allowance): number {
-        const named = perSecond * spanSeconds;
-        const whole = Math.floor(
-            allowance === Allowance.Named ? named : usedPart * (excessFactor * named + excessExtra),
+    /**
+     * Divides a limit into whole requests per entry; the entries with the lowest ranks get the remainder, so that the
+     * shares add up to the whole limit.
+     */
+    private shareOfLimit(endpoint: string, perSecond: number, allowance: Allowance): number {
+        const advertised = perSecond * countingWindowSeconds;
+        const requestCount = Math.floor(
+            allowance === Allowance.Named ? advertised : usableExcessRatio * (excessFactor * advertised + excessExtra),
         );
         const { known } = this.entries;
-        return Math.floor(whole / known) + Number(this.entries.rank(endpoint) < whole % known);
+        return Math.floor(requestCount / known) + Number(this.entries.rank(endpoint) < requestCount % known);
     }
 
-    private take(endpoint: string, word: Word): void {
+    private storeLimit(endpoint: string, limit: ReceivedLimit): void {
         const before = this.limitOf(endpoint);
-        this.words.set(endpoint, word);
-        const { perSecond } = word;
+        this.receivedLimits.set(endpoint, limit);
+        const { perSecond } = limit;
         if (perSecond === before) {
             return;
         }
--- a/src/core/budgets/sharedRetryBudget.ts
+++ b/src/core/budgets/sharedRetryBudget.ts
@@ -1,29 +1,30 @@
-/** Bounds how often requests of a service are sent again, over all entries together. */
+/** Limits the retries of a service over all entries together. */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { KeyedWindows } from "../../utils/keyedWindows.js";
 
-/** What all entries together may send again. */
+/** Retries that all entries together may send. */
 export interface RetryLimits {
-    /** Share of the requests of the window. */
+    /** Share of the requests in the window. */
     share: number;
     window: Milliseconds;
-    /** Allowed beside the share, in a window. */
+    /** Retries per window on top of the share. */
     extra: number;
 }
 
-/** Part of the allowance that is used; the rest covers entries that count in windows that differ a little. */
-const usedPart = 0.8;
+/** Share of the allowance that is used; the rest is a reserve for entries whose windows differ a little. */
+const usableAllowanceRatio = 0.8;
 
 /**
- * This entry's part of the allowance.
+ * This entry's share of the retry allowance.
  *
- * When many endpoints fail together, each failure asks for another send, and these alone can overload what is left; one
- * would notice sends growing while answers fall. The share counts own requests only, and the extra is divided by the
- * number of entries, so that the sum over all entries holds without asking anybody.
+ * When many endpoints fail together, each failure asks for another attempt, and these retries alone can overload the
+ * remaining endpoints: attempts grow while successful responses fall. The share counts only this entry's own requests,
+ * and the extra retries are divided by the number of entries, so that the sum over all entries holds without any
+ * communication.
  */
 export class SharedRetryBudget {
     private readonly requests: KeyedWindows;
-    private readonly repeats: KeyedWindows;
+    private readonly retries: KeyedWindows;
 
     constructor(
         clock: Clock,
@@ -31,23 +32,23 @@
         private readonly entries: () => number,
     ) {
         this.requests = new KeyedWindows(clock, () => limits().window);
-        this.repeats = new KeyedWindows(clock, () => limits().window);
+        this.retries = new KeyedWindows(clock, () => limits().window);
     }
 
-    /** Notes a caller's request for `service`. */
+    /** Records a caller's request for `service`. */
     recordRequest(service: string): void {
         this.requests.add(service);
     }
 
-    /** Takes one repeat; false when the budget is spent. */
+    /** Takes one retry; returns false when the budget is exhausted. */
     tryTake(service: string): boolean {
         const requests = this.requests.count(service);
         const { share, extra } = this.limits();
-        const allowed = usedPart * (share * requests + extra / this.entries());
-        if (this.repeats.count(service) + 1 > allowed) {
+        const allowed = usableAllowanceRatio * (share * requests + extra / this.entries());
+        if (this.retries.count(service) + 1 > allowed) {
             return false;
         }
-        this.repeats.add(service);
+        this.retries.add(service);
         return true;
     }
 }
--- a/src/core/entryCore.ts
+++ b/src/core/entryCore.ts
@@ -107,9 +107,9 @@
             metrics,
             entry: self.id,
             directory,
-            cold,
+            coldBudget: cold,
             limits: this.limits,
-            placer,
+            selector: placer,
             loads,
             peers,
         });
@@ -117,10 +117,10 @@
             clock,
             routes: () => this.configuration.routes,
             directory,
-            placer,
+            selector: placer,
             loads,
             dataCentre,
-            places: () => peers.placers().self,
+            isPlacer: () => peers.placers().self,
         });
         this.forwarder = new Forwarder({
             clock,
--- a/src/core/forwarding/endpointSearch.ts
+++ b/src/core/forwarding/endpointSearch.ts
@@ -41,9 +41,9 @@
             targetLeft: route.targetLatency - this.progress.waited,
             patienceLeft: this.progress.patienceLeft,
             dataCentre: this.progress.parts.dataCentre,
-            broken: this.progress.attempts.broken,
-            refused: this.progress.attempts.refused,
-            lacking: this.progress.attempts.lacking,
+            failedEndpoints: this.progress.attempts.broken,
+            rejectedEndpoints: this.progress.attempts.refused,
+            endpointsWithoutMemory: this.progress.attempts.lacking,
         };
         return { id: this.progress.request.id, requirements: need, endsBy: deadline };
     }
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -118,7 +118,7 @@
     private noteLost(endpoint: KnownEndpoint, silent: boolean): void {
         const { failures, metrics } = this.parts;
         if (silent) {
-            failures.recordSilent(endpoint);
+            failures.recordUnresponsive(endpoint);
         }
         else {
             failures.recordLost(endpoint);
--- a/src/core/placement/demand.ts
+++ b/src/core/placement/demand.ts
@@ -1,84 +1,90 @@
 /**
- * What engine time is worth now, from what was placed of late.
+ * Computes the price of engine time from recent demand.
  *
- * Load pattern: the mix turns over to short prompts just when a third of the endpoints is lost, while the longest prompts, which
- * can't be in time any more, are begun anew. One of them takes the engine time of a hundred short prompts, and all of these
- * would be late for it. When more is asked for than the engines can do, what brings most for their time goes first.
+ * Load pattern: the mix shifts to short prompts just when a third of the endpoints is lost, while the longest prompts,
+ * which can't meet their targets any more, are restarted. One of them takes the engine time of a hundred short prompts
+ * and would make all of these late. When the demand exceeds the engines' capacity, the requests with the highest value
+ * per engine time go first.
  */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 
-/** Requests of this time are taken for those that come next: a mix turns over within seconds. */
-const window: Milliseconds = 1_500;
-/** Part of the engines' time that can be used before requests wait for one another. */
-const usablePart = 0.9;
-/** Prices hold for so long before they are worked out again. */
-const priceKept: Milliseconds = 50;
+/** Requests of this window predict the next ones; the mix shifts within seconds. */
+const demandWindow: Milliseconds = 1_500;
+/** Share of the engines' time that is usable before requests queue behind one another. */
+const usableTimeRatio = 0.9;
+/** How long a computed price stays valid. */
+const priceCacheDuration: Milliseconds = 50;
 
-interface Asked {
-    at: Milliseconds;
+interface PlacedRequestRecord {
+    placedAt: Milliseconds;
     service: string;
-    /** Time that engines read for it, over all of them. */
+    /** Prefill time of the request, summed over all engines. */
     readTime: Milliseconds;
     value: number;
 }
 
-/** Engine time that a request takes, and its value for each millisecond of it. */
-interface Offer {
+/** Engine time that a request takes, and its value per millisecond of that time. */
+interface Bid {
     time: Milliseconds;
-    worth: number;
+    valuePerMillisecond: number;
 }
 
-interface Price {
-    at: Milliseconds;
+interface CachedPrice {
+    computedAt: Milliseconds;
     value: number;
 }
 
-/** Requests that were placed of late, by all entries. */
+/** Recent requests that any entry placed. */
 export class Demand {
-    private asked: Asked[] = [];
-    private readonly prices = new Map<string, Price>();
+    private recentRequests: PlacedRequestRecord[] = [];
+    private readonly priceByService = new Map<string, CachedPrice>();
 
     constructor(private readonly clock: Clock) {}
 
-    /** Notes a request that was placed. */
-    note(service: string, readTime: Milliseconds, value: number): void {
-        this.asked.push({ at: this.clock.now(), service, readTime, value });
+    /** Records a request that was placed. */
+    recordRequest(service: string, readTime: Milliseconds, value: number): void {
+        this.recentRequests.push({ placedAt: this.clock.now(), service, readTime, value });
     }
 
     /**
-     * Value that is lost for each millisecond of engine time taken from other requests; 0 while there is time for all.
-     * `writeTime` is the engine time that each request takes to write.
+     * Value lost per millisecond of engine time taken from other requests; 0 while capacity suffices for all. `decodeTime`
+     * is the engine time that each request takes to decode.
      */
-    price(service: string, engines: number, writeTime: Milliseconds): number {
+    price(service: string, engineCount: number, decodeTime: Milliseconds): number {
         const now = this.clock.now();
-        const kept = this.prices.get(service);
-        if (kept && now - kept.at < priceKept) {
-            return kept.value;
+        const cachedPrice = this.priceByService.get(service);
+        if (cachedPrice && now - cachedPrice.computedAt < priceCacheDuration) {
+            return cachedPrice.value;
         }
-        const value = this.clearingPrice(service, engines * window * usablePart, writeTime);
-        this.prices.set(service, { at: now, value });
+        const value = this.clearingPrice(service, engineCount * demandWindow * usableTimeRatio, decodeTime);
+        this.priceByService.set(service, { computedAt: now, value });
         return value;
     }
 
-    /** The value for its time of the first request that there is no time for, the best ones taken first. */
-    private clearingPrice(service: string, available: Milliseconds, writeTime: Milliseconds): number {
-        const offers = this.offers(service, writeTime).sort((left, right) => right.worth - left.worth);
-        let used = 0;
-        for (const { time, worth } of offers) {
-            used += time;
-            if (used > available) {
-                return worth;
+    /**
+     * Value per millisecond of the first request without capacity, when requests are served by descending value per
+     * millisecond.
+     */
+    private clearingPrice(service: string, availableTime: Milliseconds, decodeTime: Milliseconds): number {
+        const bids = this.collectBids(service, decodeTime).sort((left, right) =>
+            right.valuePerMillisecond - left.valuePerMillisecond
+        );
+        let usedTime = 0;
+        for (const { time, valuePerMillisecond } of bids) {
+            usedTime += time;
+            if (usedTime > availableTime) {
+                return valuePerMillisecond;
             }
         }
         return 0;
     }
 
-    private offers(service: string, writeTime: Milliseconds): Offer[] {
-        const oldest = this.clock.now() - window;
-        this.asked = this.asked.filter(({ at }) => at > oldest);
-        return this.asked.filter(asked => asked.service === service).map(({ readTime, value }) => {
-            const time = readTime + writeTime;
-            return { time, worth: value / time };
+    private collectBids(service: string, decodeTime: Milliseconds): Bid[] {
+        const oldest = this.clock.now() - demandWindow;
+        this.recentRequests = this.recentRequests.filter(({ placedAt }) => placedAt > oldest);
+        return this.recentRequests.filter(request => request.service === service).map(({ readTime, value }) => {
+            const time = readTime + decodeTime;
+            return { time, valuePerMillisecond: value / time };
         });
     }
 }
--- a/src/core/placement/endpointSelector.ts
+++ b/src/core/placement/endpointSelector.ts
@@ -1,138 +1,159 @@
 /**
- * Chooses the endpoint for a request, and endpoints that help to read a long prompt.
+ * Selects the endpoint for a request, and the helpers that prefill parts of a long prompt.
  *
- * Load pattern: short prompts in number, every ten seconds another mix of prompts a hundred times as long. A long read
- * holds up the first event of all that come after it, and stretches every pause of those that write beside it. Work is
- * placed where the least value is lost: by the newcomer's first event, and by the pauses of those it joins.
+ * Load pattern: many short prompts, and every ten seconds a different mix with prompts a hundred times as long. A long
+ * prefill delays the first event of every request behind it and lengthens each inter-event gap of the requests that
+ * decode beside it. The selector therefore minimizes the total lost value: of the new request, by its predicted first
+ * event, and of the requests already at the endpoint, by their predicted gaps.
  */
 import { type EngineProfile, PlacementPolicy, type ServiceDefinition } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import type { Random } from "../../utils/random.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { Demand } from "./demand.js";
-import { passTime, readTime, readTimeInPass, writeTime } from "./engineCost.js";
+import { decodeDuration, passDuration, prefillDuration, prefillDurationInPass } from "./engineCost.js";
 import type { FailureTracker } from "./failureTracker.js";
-import { type EndpointLoad, readWait, type WaitingRequest } from "./loadEstimator.js";
-import { chooseTeam, readPart, type TeamShare } from "./team.js";
-
-/** Slots that short prompts leave free when they are packed on one endpoint, for what is placed there at the same time. */
-const slotsSpared = 1;
-/** A read up to this time goes beside writers; it lengthens one pause by its own time at most. */
-const shortRead: Milliseconds = 100;
-/** Part of a target from which on a prediction begins to count as late, and where it counts in full. */
-const lateFrom = 0.6;
-const lateInFull = 1.2;
-/** What a failure costs, relative to the value that is lost with it. */
+import { type EndpointLoad, prefillWait, type WaitingRequest } from "./loadEstimator.js";
+import { chooseTeam, minimumPartRatio, type TeamShare } from "./team.js";
+
+/**
+ * Slots that packing of short prompts leaves free on an endpoint, for requests that other entries place there at the same
+ * time.
+ */
+const reservedSlots = 1;
+/** A prefill up to this duration may run beside decoding requests; it lengthens one gap by at most its own duration. */
+const shortPrefillDuration: Milliseconds = 100;
+/** Predicted time relative to the target at which the lateness probability starts to rise, and at which it reaches 1. */
+const latenessStartRatio = 0.6;
+const latenessFullRatio = 1.2;
+/** Cost of a failure, relative to the value that is lost with it. */
 const failureCost = 1;
-/** Costs that only decide between equals. */
+/** Costs that only break ties between otherwise equal endpoints. */
 const packingCost = 0.002;
 const distanceCost = 0.001;
 const queueCost = 0.02;
-/** First events are told this late, and predictions are off by as much without a reason. */
-const overdueSlack: Milliseconds = 100;
-/** What it costs, relative to its value, to wait at an endpoint until others have given memory back. */
+/**
+ * Delay that is no sign of a stalled endpoint: updates about first events arrive up to this late, and predictions err by
+ * as much.
+ */
+const overdueTolerance: Milliseconds = 100;
+/** Cost, relative to the request's value, of waiting at an endpoint until other requests release memory. */
 const memoryWaitCost = 0.5;
 
-/** Part of an answer's value that is lost when it is late but still comes; customers rate a late one at a quarter. */
-const lateLoss = 0.75;
+/**
+ * Share of a response's value that is lost when the response is late but complete; customers rate a late one at a
+ * quarter.
+ */
+const lateLossShare = 0.75;
 
-/** Endpoints that are looked at in any case: among fewer a good one is often missed. */
-const lookedAtLeast = 8;
+/** Lower bound on the sampled candidates: a smaller sample often misses a good endpoint. */
+const minimumSampleSize = 8;
 
-/** What is believed to be in progress. */
+/** Estimated load of the endpoints. */
 export interface LoadEstimates {
-    load(endpoint: string): EndpointLoad;
-    /** Placements by other entries that are probably not known here yet. */
+    loadOf(endpoint: string): EndpointLoad;
+    /** Estimated number of placements by other entries whose updates have not arrived yet. */
     readonly placementsInTransit: number;
-    /** What engine time is worth. */
+    /** Recent demand, which sets the price of engine time. */
     readonly demand: Demand;
 }
 
-/** Callers who wait for an event for so many times the pause that they want give up. */
-const patienceGaps = 8;
+/** Callers abandon a stream after a gap of this many times their target gap. */
+const patienceInTargetGaps = 8;
 
-/** What is to be placed. */
+/** The request to be placed, its targets, and the endpoints to avoid. */
 export interface PlacementRequirements {
     service: ServiceDefinition;
     promptTokens: number;
     answerTokens: number;
     targetLatency: Milliseconds;
     targetGap: Milliseconds | undefined;
-    /** Time that the caller still wants to spend on the first event; the rest of the target. */
+    /** Remaining part of the target latency. */
     targetLeft: Milliseconds;
-    /** How much longer the caller waits for the first event before it gives up. */
+    /** Remaining time until the caller gives up waiting for the first event. */
     patienceLeft: Milliseconds;
     /** Data centre of this entry. */
     dataCentre: string;
-    /** Endpoints that broke off this request; they get it again only when there is no other. */
-    broken: ReadonlySet<string>;
-    /** Endpoints that refused this request or can't be reached. */
-    refused: ReadonlySet<string>;
-    /** Endpoints that refused to set memory aside for it: their work is not all known here. */
-    lacking: ReadonlySet<string>;
+    /** Endpoints that broke off an earlier attempt of this request; used only when there is no other. */
+    failedEndpoints: ReadonlySet<string>;
+    /** Endpoints that rejected this request or can't be reached. */
+    rejectedEndpoints: ReadonlySet<string>;
+    /** Endpoints that refused to reserve memory for this request, so their load is not fully known here. */
+    endpointsWithoutMemory: ReadonlySet<string>;
 }
 
-/** Where a request goes. */
+/** The endpoints chosen for a request, with the predictions behind the choice. */
 export interface Placement {
     endpoint: KnownEndpoint;
     helpers: readonly KnownEndpoint[];
-    /** Memory to set aside first, where no endpoint has enough alone; else none. The first is the endpoint itself. */
+    /**
+     * Memory to reserve before the send, where no endpoint has enough alone, else empty. The first share is that of
+     * `endpoint`.
+     */
     shares: readonly TeamShare[];
-    /** Predicted time of reading at each of them. */
+    /** Predicted prefill time at each of the endpoints. */
     readTime: Milliseconds;
-    /** Predicted time to the first event, or to the answer's start for plain services. */
+    /** Predicted time to the first event, or to the start of the response for plain services. */
     firstEvent: Milliseconds;
-    /** Of it, the wait for a slot, and behind what is read before. */
+    /** Parts of `firstEvent`: the wait for a slot, and the wait behind earlier prefills. */
     slotWait: Milliseconds;
     readWait: Milliseconds;
-    /** Whether it would be late and should let later requests go first. */
+    /** Whether the request would be late and should let later requests overtake it. */
     yields: boolean;
-    /** Predicted time to the answer's end. */
+    /** Predicted time to the end of the response. */
     whole: Milliseconds;
-    /** Whether it should wait: its engine time would cost others more than it gains now. */
+    /** Whether the request should wait because its engine time would cost other requests more than it gains now. */
     postponed: boolean;
-    /** Whether it is noted as work in progress already. */
+    /** Whether the load estimates already include this placement. */
     recorded: boolean;
-    /** The entry that chose it, where it isn't the one that sends. */
+    /** The placer that chose the endpoints; undefined where the sending entry chose them itself. */
     chosenBy?: string;
 }
 
-/** What is lost when a generation is late, relative to others. Longer prompts are worth more. */
+/** Value that is lost when a generation is late, relative to other requests. Longer prompts have a higher value. */
 export const requestValue = (promptTokens: number): number => 1 + promptTokens / 10_000;
 
-/** Whether no engine has the memory for it alone. */
+/** Whether the request needs more memory than one engine has. */
 export const exceedsOneEngine = ({ service: { engine }, promptTokens, answerTokens }: PlacementRequirements): boolean =>
     engine !== undefined && promptTokens + answerTokens > engine.memoryTokens;
 
-/** The chance of being late, from a prediction and its target. */
-const lateness = (predicted: Milliseconds, target: Milliseconds): number =>
-    Math.min(1, Math.max(0, (predicted / target - lateFrom) / (lateInFull - lateFrom)));
+/** Probability that a response is late, given its predicted time and its target. */
+const latenessProbability = (predicted: Milliseconds, target: Milliseconds): number =>
+    Math.min(1, Math.max(0, (predicted / target - latenessStartRatio) / (latenessFullRatio - latenessStartRatio)));
 
-/** Chooses among endpoints that may get work. */
+/** Selects among endpoints that may receive requests. */
 export class EndpointSelector {
     constructor(
-        private readonly loads: LoadEstimates,
+        private readonly loadEstimates: LoadEstimates,
         private readonly failures: FailureTracker,
         private readonly random: Random,
         private readonly policy = PlacementPolicy.Predicted,
     ) {}
 
-    /** The best endpoint of `candidates`; undefined when there is none. */
-    select(need: PlacementRequirements, candidates: readonly KnownEndpoint[]): Placement | undefined {
-        const willing = candidates.filter(({ record }) => !need.refused.has(record.id));
-        const untried = anyOr(willing, ({ record }) => !need.broken.has(record.id));
-        const awake = anyOr(untried, ({ record }) => !this.failures.resting(record.id));
-        const choice = anyOr(awake, ({ record }) => !this.failures.suspects(record.dataCentre));
-        const { engine } = need.service;
+    /**
+     * Returns the best endpoint of `candidates`; undefined when there is none.
+     *
+     * Endpoints that rejected the request are excluded. Endpoints that broke it off, that are backing off, or whose data
+     * centre seems to be lost are used only when there is no other.
+     */
+    select(requirements: PlacementRequirements, candidates: readonly KnownEndpoint[]): Placement | undefined {
+        const notRejected = candidates.filter(({ record }) => !requirements.rejectedEndpoints.has(record.id));
+        const notFailed = preferMatching(notRejected, ({ record }) => !requirements.failedEndpoints.has(record.id));
+        const notBackingOff = preferMatching(notFailed, ({ record }) => !this.failures.isBackingOff(record.id));
+        const preferred = preferMatching(notBackingOff, ({ record }) => !this.failures.isSuspect(record.dataCentre));
+        const { engine } = requirements.service;
         return engine && this.policy === PlacementPolicy.Predicted
-            ? this.placeGeneration(need, engine, choice)
-            : this.placeCall(need, choice);
+            ? this.selectForGeneration(requirements, engine, preferred)
+            : this.selectForCall(requirements, preferred);
     }
 
-    private placeCall(need: PlacementRequirements, candidates: readonly KnownEndpoint[]): Placement | undefined {
-        const endpoint = cheapest(candidates, candidate => {
-            const { requests } = this.loads.load(candidate.record.id);
-            return requests / candidate.record.slots + this.plainCost(need, candidate);
+    private selectForCall(
+        requirements: PlacementRequirements,
+        candidates: readonly KnownEndpoint[],
+    ): Placement | undefined {
+        const endpoint = findCheapest(candidates, candidate => {
+            const { requestCount } = this.loadEstimates.loadOf(candidate.record.id);
+            return requestCount / candidate.record.slots + this.baseCost(requirements, candidate);
         });
         return endpoint
             && {
@@ -144,46 +165,53 @@
                 slotWait: 0,
                 readWait: 0,
                 yields: false,
-                whole: need.targetLatency,
+                whole: requirements.targetLatency,
                 postponed: false,
                 recorded: false,
             };
     }
 
-    private placeGeneration(
-        need: PlacementRequirements,
+    private selectForGeneration(
+        requirements: PlacementRequirements,
         engine: EngineProfile,
         candidates: readonly KnownEndpoint[],
     ): Placement | undefined {
-        const alone = readTime(engine, need.promptTokens);
-        const overMemory = exceedsOneEngine(need);
-        const team = alone > readPart * need.targetLatency || overMemory
-            ? this.placeTeam(need, engine, candidates)
+        const prefillTime = prefillDuration(engine, requirements.promptTokens);
+        const exceedsMemory = exceedsOneEngine(requirements);
+        const team = prefillTime > minimumPartRatio * requirements.targetLatency || exceedsMemory
+            ? this.selectTeam(requirements, engine, candidates)
             : undefined;
-        if (team || overMemory) {
+        if (team || exceedsMemory) {
             return team;
         }
-        const endpoint = cheapest(this.someOf(candidates), candidate => {
-            const load = this.loads.load(candidate.record.id);
-            return this.generationCost(need, engine, load, alone, candidate);
+        const endpoint = findCheapest(this.sampleCandidates(candidates), candidate => {
+            const load = this.loadEstimates.loadOf(candidate.record.id);
+            return this.generationCost(requirements, engine, load, prefillTime, candidate);
         });
         if (!endpoint) {
             return undefined;
         }
-        const load = this.loads.load(endpoint.record.id);
-        const firstEvent = predictFirstEvent(engine, load, alone, need.answerTokens);
-        const writing = writeTime(engine, need.answerTokens, load.writers, load.contextTokens + need.promptTokens);
-        const yields = slotWait(engine, load, need.answerTokens) > need.targetLeft;
-        const behind = yields ? firstEvent + overtakenWait(engine, load, need.answerTokens) : firstEvent;
-        const whole = behind + writing;
+        const load = this.loadEstimates.loadOf(endpoint.record.id);
+        const firstEventInTurn = predictFirstEvent(engine, load, prefillTime, requirements.answerTokens);
+        const decodeTime = decodeDuration(
+            engine,
+            requirements.answerTokens,
+            load.decodeCount,
+            load.contextTokens + requirements.promptTokens,
+        );
+        const yields = predictSlotWait(engine, load, requirements.answerTokens) > requirements.targetLeft;
+        const firstEvent = yields
+            ? firstEventInTurn + waitBehindYielding(engine, load, requirements.answerTokens)
+            : firstEventInTurn;
+        const whole = firstEvent + decodeTime;
         return {
             endpoint,
             helpers: [],
             shares: [],
-            readTime: alone,
-            firstEvent: behind,
-            slotWait: slotWait(engine, load, need.answerTokens) + behind - firstEvent,
-            readWait: readWait(load),
+            readTime: prefillTime,
+            firstEvent,
+            slotWait: predictSlotWait(engine, load, requirements.answerTokens) + firstEvent - firstEventInTurn,
+            readWait: prefillWait(load),
             yields,
             whole,
             postponed: false,
@@ -192,66 +220,74 @@
     }
 
     /**
-     * Candidates in such a number that no other entry is likely to choose among the same ones before its placement is heard
-     * of. With all of them in view, dozens of entries with the same belief take the same endpoint within a few milliseconds.
+     * Samples so few candidates that other entries are unlikely to choose among the same ones before this entry's
+     * placement reaches them. Without the sampling, dozens of entries with the same estimates choose the same endpoint
+     * within a few milliseconds.
      */
-    private someOf(candidates: readonly KnownEndpoint[]): readonly KnownEndpoint[] {
-        const wanted = Math.max(lookedAtLeast, Math.round(candidates.length / (1 + this.loads.placementsInTransit)));
-        return wanted >= candidates.length ? candidates : this.shuffled(candidates).slice(0, wanted);
+    private sampleCandidates(candidates: readonly KnownEndpoint[]): readonly KnownEndpoint[] {
+        const sampleSize = Math.max(
+            minimumSampleSize,
+            Math.round(candidates.length / (1 + this.loadEstimates.placementsInTransit)),
+        );
+        return sampleSize >= candidates.length ? candidates : this.shuffle(candidates).slice(0, sampleSize);
     }
 
-    private shuffled(candidates: readonly KnownEndpoint[]): readonly KnownEndpoint[] {
+    private shuffle(candidates: readonly KnownEndpoint[]): readonly KnownEndpoint[] {
         return candidates.map(candidate => ({ candidate, order: this.random.next() }))
             .sort((left, right) => left.order - right.order).map(({ candidate }) => candidate);
     }
 
-    private placeTeam(
-        need: PlacementRequirements,
+    private selectTeam(
+        requirements: PlacementRequirements,
         engine: EngineProfile,
         candidates: readonly KnownEndpoint[],
     ): Placement | undefined {
-        const value = requestValue(need.promptTokens);
-        const willing = candidates.filter(({ record }) => !need.lacking.has(record.id));
+        const value = requestValue(requirements.promptTokens);
+        const candidatesWithMemory = candidates.filter(({ record }) =>
+            !requirements.endpointsWithoutMemory.has(record.id)
+        );
         const team = chooseTeam({
             engine,
-            promptTokens: need.promptTokens,
-            answerTokens: need.answerTokens,
-            targetLatency: need.targetLatency,
-            // Entries that know nothing of one another would all take the first of those that seem idle.
-            candidates: this.loads.placementsInTransit === Infinity ? this.shuffled(willing) : willing,
-            loadOf: ({ record }) => this.loads.load(record.id),
-            lossOf: firstEvent =>
-                queueCost * value * firstEvent / need.targetLatency
-                + value * lossWhenLate(need, firstEvent),
-            partLossOf: (load, part, tokens) =>
-                waitLossOf(
-                    load.writing,
-                    passTime(engine, load.writers, load.contextTokens)
-                        + readTimeInPass(engine, part, tokens, load.readBacklog),
+            promptTokens: requirements.promptTokens,
+            answerTokens: requirements.answerTokens,
+            targetLatency: requirements.targetLatency,
+            // Without updates from one another, all entries would choose the first of the endpoints that seem idle.
+            candidates: this.loadEstimates.placementsInTransit === Infinity
+                ? this.shuffle(candidatesWithMemory)
+                : candidatesWithMemory,
+            loadOf: ({ record }) => this.loadEstimates.loadOf(record.id),
+            firstEventLoss: firstEvent =>
+                queueCost * value * firstEvent / requirements.targetLatency
+                + value * lossFromLateness(requirements, firstEvent),
+            partLoss: (load, part, tokens) =>
+                lossFromWaiting(
+                    load.decoding,
+                    passDuration(engine, load.decodeCount, load.contextTokens)
+                        + prefillDurationInPass(engine, part, tokens, load.prefillBacklog),
                 )
-                + waitLossOf(load.reading, part),
+                + lossFromWaiting(load.prefilling, part),
         });
         if (!team) {
             return undefined;
         }
-        const { readers: [endpoint, ...helpers], shares, part, firstEvent } = team;
-        const { writers, contextTokens } = this.loads.load(endpoint!.record.id);
-        const writing = writeTime(
+        const { members: [endpoint, ...helpers], shares, partDuration, firstEvent } = team;
+        const { decodeCount, contextTokens } = this.loadEstimates.loadOf(endpoint!.record.id);
+        const decodeTime = decodeDuration(
             engine,
-            need.answerTokens,
-            writers,
-            contextTokens + (shares[0]?.tokens ?? need.promptTokens),
+            requirements.answerTokens,
+            decodeCount,
+            contextTokens + (shares[0]?.tokens ?? requirements.promptTokens),
         );
-        const whole = firstEvent + writing;
-        const postponed = this.costsMore(need, engine, firstEvent, candidates.length);
+        const whole = firstEvent + decodeTime;
+        const postponed = this.shouldPostpone(requirements, engine, firstEvent, candidates.length);
         return {
             endpoint: endpoint!,
             helpers,
             shares,
-            readTime: part,
+            readTime: partDuration,
             firstEvent,
             slotWait: 0,
-            readWait: Math.max(0, firstEvent - part),
+            readWait: Math.max(0, firstEvent - partDuration),
             yields: false,
             whole,
             postponed,
@@ -259,71 +295,80 @@
         };
     }
 
-    /** Whether the engine time of a long prompt is worth more to others than what it still gains. */
-    private costsMore(
-        need: PlacementRequirements,
+    /**
+     * Whether the engine time of a long prompt is worth more to other requests than the value that the prompt still has.
+     */
+    private shouldPostpone(
+        requirements: PlacementRequirements,
         engine: EngineProfile,
         firstEvent: Milliseconds,
-        engines: number,
+        engineCount: number,
     ): boolean {
-        const slotTime = slotTimeOf(engine, need);
-        const price = this.loads.demand.price(need.service.name, engines, slotTime);
-        const gain = requestValue(need.promptTokens) * (1 - lossWhenLate(need, firstEvent));
-        return price * (readTime(engine, need.promptTokens) + slotTime) > gain;
+        const slotTime = decodeTimePerSlot(engine, requirements);
+        const price = this.loadEstimates.demand.price(requirements.service.name, engineCount, slotTime);
+        const gain = requestValue(requirements.promptTokens) * (1 - lossFromLateness(requirements, firstEvent));
+        return price * (prefillDuration(engine, requirements.promptTokens) + slotTime) > gain;
     }
 
-    /** What is lost by placing a read of `part` at a candidate. */
+    /** Value that is lost by placing a prefill of duration `part` at a candidate. */
     private generationCost(
-        need: PlacementRequirements,
+        requirements: PlacementRequirements,
         engine: EngineProfile,
         load: EndpointLoad,
         part: Milliseconds,
         candidate: KnownEndpoint,
     ): number {
-        const value = requestValue(need.promptTokens);
-        const firstEvent = predictFirstEvent(engine, load, part, need.answerTokens);
-        let cost = value * lateness(firstEvent, Math.max(1, need.targetLeft));
-        const pause = passTime(engine, load.writers + 1, load.contextTokens + need.promptTokens)
-            + readTimeInPass(engine, part, need.promptTokens, load.readBacklog);
-        cost += waitLossOf(load.writing, pause);
-        if (load.memoryTokens + need.promptTokens + need.answerTokens > engine.memoryTokens) {
+        const value = requestValue(requirements.promptTokens);
+        const firstEvent = predictFirstEvent(engine, load, part, requirements.answerTokens);
+        let cost = value * latenessProbability(firstEvent, Math.max(1, requirements.targetLeft));
+        const gap = passDuration(engine, load.decodeCount + 1, load.contextTokens + requirements.promptTokens)
+            + prefillDurationInPass(engine, part, requirements.promptTokens, load.prefillBacklog);
+        cost += lossFromWaiting(load.decoding, gap);
+        if (load.memoryTokens + requirements.promptTokens + requirements.answerTokens > engine.memoryTokens) {
             cost += memoryWaitCost * value;
         }
-        cost += queueCost * value * unusualWait(engine, load, need.answerTokens) / need.targetLatency;
-        cost += part <= shortRead ? packing(engine, load) : packingCost * load.writers;
-        return cost + this.plainCost(need, candidate) * value;
+        cost += queueCost * value * waitBeyondCurrentPass(engine, load, requirements.answerTokens)
+            / requirements.targetLatency;
+        cost += part <= shortPrefillDuration ? packingPenalty(engine, load) : packingCost * load.decodeCount;
+        return cost + this.baseCost(requirements, candidate) * value;
     }
 
-    private plainCost(need: PlacementRequirements, { record }: KnownEndpoint): number {
-        return failureCost * this.failures.share(record.id)
-            + (record.dataCentre === need.dataCentre ? 0 : distanceCost);
+    private baseCost(requirements: PlacementRequirements, { record }: KnownEndpoint): number {
+        return failureCost * this.failures.failureShare(record.id)
+            + (record.dataCentre === requirements.dataCentre ? 0 : distanceCost);
     }
 }
 
-/** Part of its value that a prompt loses with its first event after `firstEvent`: by its target, and by giving up. */
-const lossWhenLate = (need: PlacementRequirements, firstEvent: Milliseconds): number =>
-    lateLoss * lateness(firstEvent, Math.max(1, need.targetLeft))
-    + (1 - lateLoss) * lateness(firstEvent, Math.max(1, need.patienceLeft));
+/**
+ * Share of its value that a prompt loses with a first event after `firstEvent`, by missing its target and by the caller
+ * giving up.
+ */
+const lossFromLateness = (requirements: PlacementRequirements, firstEvent: Milliseconds): number =>
+    lateLossShare * latenessProbability(firstEvent, Math.max(1, requirements.targetLeft))
+    + (1 - lateLossShare) * latenessProbability(firstEvent, Math.max(1, requirements.patienceLeft));
 
-/** What is lost when those that read or write at an endpoint wait so long for their next event. */
-const waitLossOf = (waiting: readonly WaitingRequest[], wait: Milliseconds): number => {
+/** Value that is lost when the requests at an endpoint wait this long for their next event. */
+const lossFromWaiting = (waiting: readonly WaitingRequest[], wait: Milliseconds): number => {
     let loss = 0;
     for (const { targetGap, value } of waiting) {
         loss += value
-            * (lateLoss * lateness(wait, targetGap) + (1 - lateLoss) * lateness(wait, patienceGaps * targetGap));
+            * (lateLossShare * latenessProbability(wait, targetGap)
+                + (1 - lateLossShare) * latenessProbability(wait, patienceInTargetGaps * targetGap));
     }
     return loss;
 };
 
-/** Short prompts join those that write already, so that other endpoints stay free for long reads. */
-const packing = (engine: EngineProfile, load: EndpointLoad): number => {
-    const packed = engine.slots - slotsSpared;
-    return load.writers < packed ? packingCost * (packed - load.writers) : packingCost * 3 * load.writers;
+/** Steers short prompts to endpoints that decode already, so that other endpoints stay free for long prefills. */
+const packingPenalty = (engine: EngineProfile, load: EndpointLoad): number => {
+    const packedSlots = engine.slots - reservedSlots;
+    return load.decodeCount < packedSlots
+        ? packingCost * (packedSlots - load.decodeCount)
+        : packingCost * 3 * load.decodeCount;
 };
 
 /**
- * The pass that runs goes on to its end, then one reads what waits, and this prompt, and writes its first tokens. An engine
- * without writers begins to write with the next step.
+ * Predicts the time to the first event: the running pass finishes, then the engine prefills its backlog and this prompt,
+ * and decodes the first tokens. An engine without decoding requests starts to decode with the next step.
  */
 const predictFirstEvent = (
     engine: EngineProfile,
@@ -331,53 +376,59 @@
     part: Milliseconds,
     answerTokens: number,
 ): Milliseconds => {
-    const pass = load.writers > 0 ? passTime(engine, load.writers + 1, load.contextTokens) : engine.stepTime;
-    return waitBefore(engine, load, answerTokens) + part + pass;
+    const pass = load.decodeCount > 0
+        ? passDuration(engine, load.decodeCount + 1, load.contextTokens)
+        : engine.stepTime;
+    return waitBeforePrefill(engine, load, answerTokens) + part + pass;
 };
 
 /**
- * The wait until a prompt is read: for a slot, and for what is read before. Where that has taken longer than predicted, it
- * will go on to do so: about as long again.
+ * Wait until the prefill of a prompt starts: for a slot, and behind earlier prefills. A wait that has already exceeded
+ * its prediction is expected to last about as long again.
  */
-const waitBefore = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
-    slotWait(engine, load, answerTokens) + readWait(load)
-    + Math.max(0, load.overdue - overdueSlack);
+const waitBeforePrefill = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
+    predictSlotWait(engine, load, answerTokens) + prefillWait(load)
+    + Math.max(0, load.overdueTime - overdueTolerance);
 
-/** Engine time that the answer of a usual request takes, when all slots are used. */
-const slotTimeOf = (engine: EngineProfile, need: PlacementRequirements): Milliseconds =>
-    writeTime(engine, engine.usual?.answerTokens ?? need.answerTokens, engine.slots - 1, 0) / engine.slots;
+/** Engine time that decoding a usual response takes while all slots are in use. */
+const decodeTimePerSlot = (engine: EngineProfile, requirements: PlacementRequirements): Milliseconds =>
+    decodeDuration(engine, engine.usual?.answerTokens ?? requirements.answerTokens, engine.slots - 1, 0) / engine.slots;
 
-/** The wait beyond what is left of a pass that only writes; that much is the same everywhere. */
-const unusualWait = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
-    Math.max(0, waitBefore(engine, load, answerTokens) - passTime(engine, load.writers, load.contextTokens));
+/** Wait beyond the rest of a decode-only pass; that rest is about the same at every endpoint. */
+const waitBeyondCurrentPass = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
+    Math.max(
+        0,
+        waitBeforePrefill(engine, load, answerTokens) - passDuration(engine, load.decodeCount, load.contextTokens),
+    );
 
 /**
- * The wait for a slot, when few endpoints are left and all are full. Slots come free one by one as answers end. Requests
- * that yield are overtaken, so they aren't counted.
+ * Predicted wait for a slot when few endpoints are left and all are full. Slots are released one by one as responses end.
+ * Yielding requests don't count, as a new request overtakes them.
  */
-const slotWait = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds => {
-    const ahead = load.requests - load.overtakable - engine.slots + 1;
-    return Math.max(0, ahead) * slotInterval(engine, load, answerTokens);
+const predictSlotWait = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds => {
+    const requestsAhead = load.requestCount - load.yieldingCount - engine.slots + 1;
+    return Math.max(0, requestsAhead) * slotReleaseInterval(engine, load, answerTokens);
 };
 
-/** The further wait of a request that yields: behind those that yield already. */
-const overtakenWait = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
-    load.overtakable * slotInterval(engine, load, answerTokens);
+/** Further wait of a yielding request behind the requests that already yield. */
+const waitBehindYielding = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
+    load.yieldingCount * slotReleaseInterval(engine, load, answerTokens);
 
-/** Time in which one of the slots of a full endpoint comes free. */
-const slotInterval = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
-    writeTime(engine, engine.usual?.answerTokens ?? answerTokens, engine.slots - 1, load.contextTokens) / engine.slots;
+/** Average interval between two releases of a slot at a full endpoint. */
+const slotReleaseInterval = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
+    decodeDuration(engine, engine.usual?.answerTokens ?? answerTokens, engine.slots - 1, load.contextTokens)
+    / engine.slots;
 
-/** Those for which `holds`; all when there is none. */
-const anyOr = (
+/** Returns the candidates for which `matches` holds, or all when there is none. */
+const preferMatching = (
     candidates: readonly KnownEndpoint[],
-    holds: (candidate: KnownEndpoint) => boolean,
+    matches: (candidate: KnownEndpoint) => boolean,
 ): readonly KnownEndpoint[] => {
-    const found = candidates.filter(holds);
-    return found.length > 0 ? found : candidates;
+    const matching = candidates.filter(matches);
+    return matching.length > 0 ? matching : candidates;
 };
 
-const cheapest = (
+const findCheapest = (
     candidates: readonly KnownEndpoint[],
     costOf: (candidate: KnownEndpoint) => number,
 ): KnownEndpoint | undefined => {
--- a/src/core/placement/engineCost.ts
+++ b/src/core/placement/engineCost.ts
@@ -1,41 +1,44 @@
-/** What work costs a model engine, from its published speeds. */
+/** Computes durations of model engine work from the engine's published speeds. */
 import type { EngineProfile } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 
 const tokensPerThousand = 1_000;
 const pairsPerMillion = 1_000_000;
 
-/** Time to read a prompt alone on an engine. The pairs make long prompts cost more than their length. */
-export const readTime = (engine: EngineProfile, promptTokens: number): Milliseconds => {
+/**
+ * Time to prefill a prompt on an idle engine. The attention over token pairs makes the time grow faster than the prompt's
+ * length.
+ */
+export const prefillDuration = (engine: EngineProfile, promptTokens: number): Milliseconds => {
     const pairs = promptTokens * promptTokens / 2;
     return promptTokens / engine.readTokensPerSecond * 1_000
         + pairs / pairsPerMillion * engine.readTimePerMillionPairs;
 };
 
-/** Time of a pass in which `writers` requests with `contextTokens` in all write, without any reading. */
-export const passTime = (engine: EngineProfile, writers: number, contextTokens: number): Milliseconds =>
+/** Time of a decode-only pass with `decodeCount` requests and `contextTokens` tokens of context in total. */
+export const passDuration = (engine: EngineProfile, decodeCount: number, contextTokens: number): Milliseconds =>
     engine.stepsPerPass
-    * (engine.stepTime + writers * engine.stepTimePerRequest
+    * (engine.stepTime + decodeCount * engine.stepTimePerRequest
         + contextTokens / tokensPerThousand * engine.stepTimePerThousandTokens);
 
-/** Time to write an answer of `answerTokens` beside `writers` others, without any reading. */
-export const writeTime = (
+/** Time to decode `answerTokens` tokens beside `decodeCount` other requests, without any prefill. */
+export const decodeDuration = (
     engine: EngineProfile,
     answerTokens: number,
-    writers: number,
+    decodeCount: number,
     contextTokens: number,
-): Milliseconds => Math.ceil(answerTokens / engine.stepsPerPass) * passTime(engine, writers + 1, contextTokens);
+): Milliseconds => Math.ceil(answerTokens / engine.stepsPerPass) * passDuration(engine, decodeCount + 1, contextTokens);
 
 /**
- * What reading a part adds to one pass with writers, behind a backlog. A pass reads a chunk in each step, and each token
- * of a long prompt takes longer, so one part of a long prompt may stretch a single pass by seconds.
+ * Time that prefilling a part, behind a backlog, adds to one pass with decoding requests. A pass prefills one chunk per
+ * step, and tokens of a long prompt take longer, so one part of a long prompt may lengthen a single pass by seconds.
  */
-export const readTimeInPass = (
+export const prefillDurationInPass = (
     engine: EngineProfile,
-    part: Milliseconds,
+    partDuration: Milliseconds,
     partTokens: number,
     backlog: Milliseconds,
 ): Milliseconds => {
     const tokensInPass = engine.stepsPerPass * engine.chunkTokens;
-    return partTokens === 0 ? 0 : Math.min(backlog + part, part * tokensInPass / partTokens);
+    return partTokens === 0 ? 0 : Math.min(backlog + partDuration, partDuration * tokensInPass / partTokens);
 };
--- a/src/core/placement/engineEstimate.ts
+++ b/src/core/placement/engineEstimate.ts
@@ -1,228 +1,239 @@
 /**
- * What one endpoint is believed to do: the passes of its engine, played on from what was placed there.
+ * Simulates the passes of one endpoint's engine from the work placed there.
  *
- * A request waits for the end of the pass that runs, and everything read in a pass holds up all that is in it. Without the
- * passes an endpoint seems free half a second before it is; all entries then send there what comes in that time.
+ * A request waits for the end of the running pass, and each prefill in a pass delays all requests in that pass. An
+ * estimate without passes shows an endpoint as free half a second too early, and all entries then send it the requests of
+ * that half second.
  */
 import type { EngineProfile } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
-import { passTime } from "./engineCost.js";
+import { passDuration } from "./engineCost.js";
 
-/** What of a request an endpoint does. */
+/** Which part of a request an endpoint executes. */
 export enum WorkPart {
-    /** All of it, or all but what others read for it. */
+    /** The whole request, or everything but the prefill parts of its helpers. */
     Main = "main",
-    /** Reads a part of the prompt for another endpoint. */
+    /** Prefills a part of the prompt for another endpoint. */
     Read = "read",
-    /** Reads a part, and holds a part's memory until the request ends. */
+    /** Prefills a part, and holds its memory until the request ends. */
     Hold = "hold",
 }
 
-/** A request placed at an endpoint. */
+/** A request, or a part of one, placed at an endpoint. */
 export interface PlacedWork {
-    /** Names the attempt over all entries. */
+    /** Identifies the attempt across all entries. */
     id: string;
-    /** The entry that placed it. */
+    /** The entry that placed the work. */
     owner: string;
     endpoint: string;
-    /** Memory that it needs here until its end, in tokens; 0 for plain services. */
+    /** Memory in use at this endpoint until the work ends, in tokens; 0 for plain services. */
     contextTokens: number;
-    /** Tokens that are read at this endpoint, and the predicted time of reading them. */
+    /** Tokens to prefill at this endpoint, and the predicted prefill time. */
     readTokens: number;
     readTime: Milliseconds;
-    /** The longest pause that its caller wants; undefined where it doesn't write a stream. */
+    /** The longest gap between events that the caller accepts; undefined where the response is no stream. */
     targetGap: Milliseconds | undefined;
-    /** What is lost when it is late, relative to other work. */
+    /** Value that is lost when the work is late, relative to other work. */
     value: number;
-    /** Whether it lets later requests go first, as it is late in any case. */
+    /** Whether later requests may overtake the work, as it will be late in any case. */
     yielding: boolean;
     part: WorkPart;
-    /** Predicted time to its first event; undefined where that depends on other endpoints too. */
+    /** Predicted time to the first event; undefined where it depends on other endpoints too. */
     firstEventIn: Milliseconds | undefined;
-    /** When it has ended at the latest. */
+    /** Time by which the work has ended at the latest. */
     endsBy: Milliseconds;
 }
 
-/** Work with what is believed to have become of it. */
+/** Placed work with its estimated progress. */
 export interface EstimatedWork extends PlacedWork {
     placedAt: Milliseconds;
-    /** Whether it is believed to write. */
+    /** Whether the work is estimated to decode. */
     writing: boolean;
-    /** Whether its first event is known to have come. */
-    begun: boolean;
-    /** Of its read time, what is left as of the last look. */
-    readLeft: Milliseconds;
+    /** Whether the first event was reported. */
+    hasFirstEvent: boolean;
+    /** Remaining part of `readTime`, as of the last advance. */
+    remainingReadTime: Milliseconds;
 }
 
-/** What a pass reads of one request. */
-interface PassRead {
+/** The prefill of one request within a pass. */
+interface PassPrefill {
     work: EstimatedWork;
     time: Milliseconds;
 }
 
-/** The end of no pass: there is nothing to do. */
-const idle: Milliseconds = -Infinity;
-/** Less than this is taken as read. */
-const readRest: Milliseconds = 0.01;
+/** End time of the pass while there is none. */
+const noPassEnd: Milliseconds = -Infinity;
+/** A remainder below this counts as complete, against rounding errors. */
+const negligiblePrefillTime: Milliseconds = 0.01;
 
-/** The work of one endpoint, and its engine. */
+/** The estimated work of one endpoint, and the running pass of its engine. */
 export class EngineEstimate {
-    readonly works = new Map<string, EstimatedWork>();
-    /** When a request here last had its first event. */
-    progressAt: Milliseconds = -Infinity;
-    private passBegan: Milliseconds = idle;
-    private passEnds: Milliseconds = idle;
-    /** Whether the pass reads for nobody who writes: it can then be broken off at any step. */
-    private readsAlone = false;
-    private reads: PassRead[] = [];
-
-    /** `engine` is undefined for plain services. */
+    readonly workById = new Map<string, EstimatedWork>();
+    /** When a request at this endpoint last had its first event. */
+    lastFirstEventAt: Milliseconds = -Infinity;
+    private passStartedAt: Milliseconds = noPassEnd;
+    private passEndsAt: Milliseconds = noPassEnd;
+    /** Whether the pass contains no decoding requests; the engine can then end it after any step. */
+    private isPrefillOnlyPass = false;
+    private passPrefills: PassPrefill[] = [];
+
+    /** `engine` returns undefined for plain services. */
     constructor(private readonly engine: () => EngineProfile | undefined) {}
 
     /** Adds work as of `now`. */
     add(work: EstimatedWork, now: Milliseconds): void {
         this.advance(now);
-        this.works.set(work.id, work);
-        if (this.readsAlone && now < this.passEnds) {
-            this.breakOff(now);
+        this.workById.set(work.id, work);
+        if (this.isPrefillOnlyPass && now < this.passEndsAt) {
+            this.truncatePass(now);
         }
         this.advance(now);
     }
 
-    /** Work is over, or was taken back; what is being read for it is broken off. */
+    /** Removes work that has ended or was cancelled, and cuts its prefill out of the running pass. */
     remove(id: string, now: Milliseconds): void {
         this.advance(now);
-        this.works.delete(id);
-        const read = this.reads.find(({ work }) => work.id === id);
-        if (read) {
-            this.reads = this.reads.filter(other => other !== read);
-            this.passEnds = Math.max(now, this.passEnds - read.time);
+        this.workById.delete(id);
+        const prefill = this.passPrefills.find(({ work }) => work.id === id);
+        if (prefill) {
+            this.passPrefills = this.passPrefills.filter(other => other !== prefill);
+            this.passEndsAt = Math.max(now, this.passEndsAt - prefill.time);
             this.advance(now);
         }
     }
 
-    /** The request writes, so what was read for it here is done, and the pass that read it is over. */
-    noteRead(id: string, now: Milliseconds): void {
+    /** Completes the prefill of a request that decodes now, and ends the pass that contains the prefill. */
+    completePrefill(id: string, now: Milliseconds): void {
         this.advance(now);
-        const work = this.works.get(id);
-        if (!work || work.readLeft <= 0) {
+        const work = this.workById.get(id);
+        if (!work || work.remainingReadTime <= 0) {
             return;
         }
-        const inPass = this.reads.some(read => read.work === work);
-        work.readLeft = 0;
-        if (inPass) {
-            this.passEnds = now;
+        const isInPass = this.passPrefills.some(prefill => prefill.work === work);
+        work.remainingReadTime = 0;
+        if (isInPass) {
+            this.passEndsAt = now;
             this.advance(now);
         }
     }
 
-    /** Lets passes go on until `now`. */
+    /** Simulates passes until `now`. */
     advance(now: Milliseconds): void {
-        for (let at = this.passEnds; at <= now;) {
+        for (let nextPassAt = this.passEndsAt; nextPassAt <= now;) {
             this.finishPass();
-            at = this.beginPass(at === idle ? now : at, now);
+            nextPassAt = this.beginPass(nextPassAt === noPassEnd ? now : nextPassAt, now);
         }
     }
 
-    /** Time until the pass that runs is over; 0 where none does. */
-    passLeft(now: Milliseconds): Milliseconds {
-        return Math.max(0, this.passEnds - now);
+    /** Time until the running pass ends; 0 where none runs. */
+    remainingPassTime(now: Milliseconds): Milliseconds {
+        return Math.max(0, this.passEndsAt - now);
     }
 
-    /** What of the work is left to be read once the pass that runs is over. */
-    unread(work: EstimatedWork): Milliseconds {
-        const inPass = this.reads.find(read => read.work === work)?.time ?? 0;
-        return Math.max(0, work.readLeft - inPass);
+    /** Prefill time of the work that remains after the running pass. */
+    prefillAfterPass(work: EstimatedWork): Milliseconds {
+        const timeInPass = this.passPrefills.find(prefill => prefill.work === work)?.time ?? 0;
+        return Math.max(0, work.remainingReadTime - timeInPass);
     }
 
     private finishPass(): void {
-        for (const { work, time } of this.reads) {
-            work.readLeft = work.readLeft - time < readRest ? 0 : work.readLeft - time;
-            const alone = work.part === WorkPart.Main && work.firstEventIn !== undefined;
-            work.writing ||= alone && work.readLeft === 0;
+        for (const { work, time } of this.passPrefills) {
+            work.remainingReadTime = work.remainingReadTime - time < negligiblePrefillTime
+                ? 0
+                : work.remainingReadTime - time;
+            const isWithoutHelpers = work.part === WorkPart.Main && work.firstEventIn !== undefined;
+            work.writing ||= isWithoutHelpers && work.remainingReadTime === 0;
         }
-        this.reads = [];
+        this.passPrefills = [];
     }
 
-    /** A step has ended; what was read until then counts. */
-    private breakOff(now: Milliseconds): void {
-        const done = (now - this.passBegan) / (this.passEnds - this.passBegan);
-        this.reads = this.reads.map(({ work, time }) => ({ work, time: time * done }));
-        this.passEnds = now;
+    /** Ends the running pass at a step boundary, and counts the prefill up to there. */
+    private truncatePass(now: Milliseconds): void {
+        const completedShare = (now - this.passStartedAt) / (this.passEndsAt - this.passStartedAt);
+        this.passPrefills = this.passPrefills.map(({ work, time }) => ({ work, time: time * completedShare }));
+        this.passEndsAt = now;
     }
 
-    /** Begins the next pass at `at`, and returns its end; infinity where there is nothing to do. */
-    private beginPass(at: Milliseconds, now: Milliseconds): Milliseconds {
+    /** Begins the next pass at `startsAt` and returns its end; infinity where there is no work. */
+    private beginPass(startsAt: Milliseconds, now: Milliseconds): Milliseconds {
         const engine = this.engine();
-        const waiting = this.waitingReads();
-        const { writers, contextTokens } = this.writing();
-        this.passBegan = at;
-        if (!engine || (writers === 0 && waiting.length === 0)) {
-            this.passEnds = idle;
+        const pending = this.pendingPrefills();
+        const { decodeCount, contextTokens } = this.decodeLoad();
+        this.passStartedAt = startsAt;
+        if (!engine || (decodeCount === 0 && pending.length === 0)) {
+            this.passEndsAt = noPassEnd;
             return Infinity;
         }
-        this.readsAlone = writers === 0;
-        if (this.readsAlone) {
-            const [work] = waiting;
-            this.reads = [{ work: work!, time: work!.readLeft }];
-            this.passEnds = at + work!.readLeft + Math.ceil(work!.readTokens / engine.chunkTokens) * engine.stepTime;
-            return this.passEnds;
+        this.isPrefillOnlyPass = decodeCount === 0;
+        if (this.isPrefillOnlyPass) {
+            const [work] = pending;
+            this.passPrefills = [{ work: work!, time: work!.remainingReadTime }];
+            this.passEndsAt = startsAt + work!.remainingReadTime
+                + Math.ceil(work!.readTokens / engine.chunkTokens) * engine.stepTime;
+            return this.passEndsAt;
         }
-        this.reads = readsOfPass(engine, waiting);
-        const writes = passTime(engine, writers, contextTokens);
-        // Passes that only write are alike, and many may have gone by since the last look.
-        const gone = this.reads.length === 0 ? Math.floor(Math.max(0, now - at) / writes) : 0;
-        this.passBegan = at + gone * writes;
-        this.passEnds = this.passBegan + writes + this.reads.reduce((sum, { time }) => sum + time, 0);
-        return this.passEnds;
+        this.passPrefills = planPassPrefills(engine, pending);
+        const decodeTime = passDuration(engine, decodeCount, contextTokens);
+        // Decode-only passes are alike; skips the passes that have ended since the last advance.
+        const endedPassCount = this.passPrefills.length === 0
+            ? Math.floor(Math.max(0, now - startsAt) / decodeTime)
+            : 0;
+        this.passStartedAt = startsAt + endedPassCount * decodeTime;
+        this.passEndsAt = this.passStartedAt + decodeTime + this.passPrefills.reduce((sum, { time }) => sum + time, 0);
+        return this.passEndsAt;
     }
 
-    private writing(): { writers: number; contextTokens: number; } {
-        let writers = 0;
+    private decodeLoad(): { decodeCount: number; contextTokens: number; } {
+        let decodeCount = 0;
         let contextTokens = 0;
-        for (const work of this.works.values()) {
-            const holds = work.part === WorkPart.Hold && work.readLeft <= 0;
-            writers += work.writing ? 1 : 0;
-            contextTokens += work.writing || holds ? work.contextTokens : 0;
+        for (const work of this.workById.values()) {
+            const holdsMemory = work.part === WorkPart.Hold && work.remainingReadTime <= 0;
+            decodeCount += work.writing ? 1 : 0;
+            contextTokens += work.writing || holdsMemory ? work.contextTokens : 0;
         }
-        return { writers, contextTokens };
+        return { decodeCount, contextTokens };
     }
 
     /**
-     * What waits to be read, in the engine's order: parts for other endpoints, the newest first, then its own prompts as
-     * they came. Taken in the order of arrival, a part that later ones overtook would seem done while it holds up
-     * everything else for seconds.
+     * Pending prefills in the engine's order: parts for other endpoints, the newest first, then the endpoint's own
+     * prompts by arrival. In plain order of arrival, a part that later parts overtook would seem complete while it still
+     * delays all other work for seconds.
      */
-    private waitingReads(): EstimatedWork[] {
-        const parts: EstimatedWork[] = [];
-        const own: EstimatedWork[] = [];
-        for (const work of this.works.values()) {
-            if (work.readLeft <= 0 || work.writing || work.yielding) {
+    private pendingPrefills(): EstimatedWork[] {
+        const helperParts: EstimatedWork[] = [];
+        const ownPrompts: EstimatedWork[] = [];
+        for (const work of this.workById.values()) {
+            if (work.remainingReadTime <= 0 || work.writing || work.yielding) {
                 continue;
             }
             if (work.part === WorkPart.Main) {
-                own.push(work);
+                ownPrompts.push(work);
             }
             else {
-                parts.unshift(work);
+                helperParts.unshift(work);
             }
         }
-        return parts.length === 0 ? own : [...parts, ...own];
+        return helperParts.length === 0 ? ownPrompts : [...helperParts, ...ownPrompts];
     }
 }
 
-/** What a pass reads: a chunk in each of its steps. */
-const readsOfPass = (engine: EngineProfile, waiting: readonly EstimatedWork[]): PassRead[] => {
-    let tokens = engine.chunkTokens * engine.stepsPerPass;
-    const reads: PassRead[] = [];
-    for (const work of waiting) {
-        if (tokens <= 0) {
+/** Fills a pass with pending prefills, one chunk per step. */
+const planPassPrefills = (engine: EngineProfile, pending: readonly EstimatedWork[]): PassPrefill[] => {
+    let remainingPassTokens = engine.chunkTokens * engine.stepsPerPass;
+    const prefills: PassPrefill[] = [];
+    for (const work of pending) {
+        if (remainingPassTokens <= 0) {
             break;
         }
-        const left = work.readTokens * work.readLeft / work.readTime;
-        const taken = Math.min(tokens, left);
-        reads.push({ work, time: left > 0 ? work.readLeft * taken / left : work.readLeft });
-        tokens -= taken;
+        const remainingTokens = work.readTokens * work.remainingReadTime / work.readTime;
+        const prefilledTokens = Math.min(remainingPassTokens, remainingTokens);
+        prefills.push({
+            work,
+            time: remainingTokens > 0
+                ? work.remainingReadTime * prefilledTokens / remainingTokens
+                : work.remainingReadTime,
+        });
+        remainingPassTokens -= prefilledTokens;
     }
-    return reads;
+    return prefills;
 };
--- a/src/core/placement/failureTracker.ts
+++ b/src/core/placement/failureTracker.ts
@@ -1,29 +1,32 @@
-/** How often each endpoint failed of late, whether it should rest, and which data centres seem to have gone. */
+/** Tracks each endpoint's recent failures, its back-off, and data centres that seem to be lost. */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
 
-/** Time in which the memory of a failure halves: long enough to span several requests, short enough to come back. */
-const halfLife: Milliseconds = 4_000;
-/** Weight of one outcome in the share of failures. */
+/** Half-life of a failure's weight: long enough to span several requests, short enough for an endpoint to recover. */
+const failureHalfLife: Milliseconds = 4_000;
+/** Weight of one outcome in the failure share. */
 const outcomeWeight = 0.25;
-/** First rest of an endpoint that didn't answer; doubled with each failure in a row. */
-const firstRest: Milliseconds = 500;
-const longestRest: Milliseconds = 4_000;
-/** So many endpoints of one data centre that are lost within this time, and none elsewhere, are no chance. */
-const lostTogether = 3;
-const lostWithin: Milliseconds = 300;
-/** How long endpoints there are passed over while there are others: about what a list of the store takes to tell. */
-const suspicionTime: Milliseconds = 1_000;
-
-interface Record {
-    share: number;
-    at: Milliseconds;
-    /** Failures in a row without a single answer. */
-    silent: number;
-    restUntil: Milliseconds;
+/** First back-off of an endpoint that didn't respond, doubled each time that it still doesn't, up to the maximum. */
+const initialBackOffDuration: Milliseconds = 500;
+const maximumBackOffDuration: Milliseconds = 4_000;
+/** This many losses in one data centre within the window, with none elsewhere, are no coincidence. */
+const correlatedLossCount = 3;
+const correlatedLossWindow: Milliseconds = 300;
+/**
+ * How long endpoints of a suspect data centre are avoided while there are others: about the delay until the store's list
+ * shows the loss.
+ */
+const suspicionDuration: Milliseconds = 1_000;
+
+interface FailureRecord {
+    failureShare: number;
+    updatedAt: Milliseconds;
+    /** Sends without a response since the last success. */
+    noResponseCount: number;
+    backOffUntil: Milliseconds;
 }
 
-/** What became of sends to an endpoint, as entries tell it. */
+/** Result of a send to an endpoint, as entries publish it. */
 export enum SendResult {
     Succeeded = "succeeded",
     Failed = "failed",
@@ -31,152 +34,167 @@
     Silent = "silent",
 }
 
-/** News of it. */
+/** Update about the result of a send. */
 export interface OutcomeUpdate {
     type: "Outcome";
     endpoint: string;
     fate: SendResult;
 }
 
-/** An endpoint that was lost. */
-interface Loss {
+/** The loss of an endpoint. */
+interface EndpointLoss {
     endpoint: string;
     dataCentre: string;
-    at: Milliseconds;
+    lostAt: Milliseconds;
 }
 
-/** Outcomes by endpoint. */
+/** Tracks results of sends by endpoint. */
 export class FailureTracker {
-    /** Gets what this entry found: each of hundreds of entries sees a few outcomes only. */
-    publish: (news: OutcomeUpdate, nobodyListens: boolean) => void = () => {};
-    private readonly records = new Map<string, Record>();
-    private losses: Loss[] = [];
-    private readonly suspectUntil = new Map<string, Milliseconds>();
+    /**
+     * Receives each result that this entry observed. Entries share results because each of hundreds of entries observes
+     * only a few.
+     */
+    publish: (update: OutcomeUpdate, connectionRefused: boolean) => void = () => {};
+    private readonly recordByEndpoint = new Map<string, FailureRecord>();
+    private recentLosses: EndpointLoss[] = [];
+    private readonly suspectUntilByDataCentre = new Map<string, Milliseconds>();
 
     constructor(private readonly clock: Clock) {}
 
-    /** Notes an answer of any status that isn't a failure of the endpoint. */
+    /** Records a response with any status that isn't a failure of the endpoint. */
     recordSucceeded({ record: { id, dataCentre } }: KnownEndpoint): void {
-        if (this.records.has(id) || this.suspects(dataCentre)) {
+        if (this.recordByEndpoint.has(id) || this.isSuspect(dataCentre)) {
             this.publish({ type: "Outcome", endpoint: id, fate: SendResult.Succeeded }, false);
         }
-        this.noteSuccess(id, dataCentre);
+        this.applySuccess(id, dataCentre);
     }
 
-    private noteSuccess(id: string, dataCentre: string): void {
-        this.suspectUntil.delete(dataCentre);
-        const record = this.records.get(id);
+    private applySuccess(id: string, dataCentre: string): void {
+        this.suspectUntilByDataCentre.delete(dataCentre);
+        const record = this.recordByEndpoint.get(id);
         if (record) {
-            record.share = this.decayed(record) * (1 - outcomeWeight);
-            record.at = this.clock.now();
-            record.silent = 0;
-            record.restUntil = 0;
+            record.failureShare = this.decayedShare(record) * (1 - outcomeWeight);
+            record.updatedAt = this.clock.now();
+            record.noResponseCount = 0;
+            record.backOffUntil = 0;
         }
     }
 
-    /** Notes an answer that says the endpoint failed. */
+    /** Records a response that reports a failure of the endpoint. */
     recordFailed(endpoint: string): void {
         this.publish({ type: "Outcome", endpoint, fate: SendResult.Failed }, false);
-        this.noteFailure(endpoint);
+        this.applyFailure(endpoint);
     }
 
-    private noteFailure(endpoint: string): void {
-        const record = this.record(endpoint);
-        record.share = this.decayed(record) * (1 - outcomeWeight) + outcomeWeight;
-        record.at = this.clock.now();
+    private applyFailure(endpoint: string): void {
+        const record = this.getOrCreateRecord(endpoint);
+        record.failureShare = this.decayedShare(record) * (1 - outcomeWeight) + outcomeWeight;
+        record.updatedAt = this.clock.now();
     }
 
     /**
-     * Notes that the endpoint couldn't be reached or broke off. An endpoint that is down stays listed for seconds;
-     * without a rest each new request would find it idle and fail there.
+     * Records that the endpoint couldn't be reached or broke off. An endpoint that is down stays listed for seconds;
+     * without a back-off each new request would find it idle and fail there.
      */
     recordLost({ record: { id, dataCentre } }: KnownEndpoint): void {
         this.publish({ type: "Outcome", endpoint: id, fate: SendResult.Lost }, false);
-        this.noteLost(id, dataCentre);
+        this.applyLoss(id, dataCentre);
     }
 
-    private noteLost(id: string, dataCentre: string): void {
-        this.rest(id);
-        this.noteLoss({ endpoint: id, dataCentre, at: this.clock.now() });
+    private applyLoss(id: string, dataCentre: string): void {
+        this.backOff(id);
+        this.detectDataCentreLoss({ endpoint: id, dataCentre, lostAt: this.clock.now() });
     }
 
-    /** Notes that the endpoint said nothing for long. It may be busy; that tells nothing of its data centre. */
-    recordSilent({ record }: KnownEndpoint): void {
+    /**
+     * Records that the endpoint has been unresponsive for long. It may be busy, so this is no evidence against its data
+     * centre.
+     */
+    recordUnresponsive({ record }: KnownEndpoint): void {
         this.publish({ type: "Outcome", endpoint: record.id, fate: SendResult.Silent }, false);
-        this.rest(record.id);
+        this.backOff(record.id);
     }
 
-    /** Takes what another entry found. Several find the same loss at about the same time; it counts once. */
-    applyPeerResult({ record: { id, dataCentre } }: KnownEndpoint, fate: SendResult): void {
-        switch (fate) {
+    /**
+     * Applies the result that another entry observed. Several entries observe the same loss at about the same time; it
+     * counts once.
+     */
+    applyPeerResult({ record: { id, dataCentre } }: KnownEndpoint, result: SendResult): void {
+        switch (result) {
             case SendResult.Succeeded:
-                this.noteSuccess(id, dataCentre);
+                this.applySuccess(id, dataCentre);
                 return;
             case SendResult.Failed:
-                this.noteFailure(id);
+                this.applyFailure(id);
                 return;
             case SendResult.Lost:
-                if (!this.resting(id)) {
-                    this.noteLost(id, dataCentre);
+                if (!this.isBackingOff(id)) {
+                    this.applyLoss(id, dataCentre);
                 }
                 return;
             case SendResult.Silent:
-                if (!this.resting(id)) {
-                    this.rest(id);
+                if (!this.isBackingOff(id)) {
+                    this.backOff(id);
                 }
                 return;
         }
     }
 
-    /** Notes that nobody listens at the endpoint's address. The others should not find out one by one. */
+    /**
+     * Records that the endpoint's address refused a connection, and publishes it so that other entries need not each run
+     * into the failure.
+     */
     recordUnreachable(endpoint: KnownEndpoint): void {
         this.publish({ type: "Outcome", endpoint: endpoint.record.id, fate: SendResult.Lost }, true);
         this.applyPeerResult(endpoint, SendResult.Lost);
     }
 
     /**
-     * Whether so many endpoints of a data centre were lost at once that all of it seems to have gone. The others there are
-     * still listed; a long prompt read by several would find them one by one, a try each.
+     * Whether so many endpoints of a data centre were lost at once that the whole data centre seems to be lost. Its other
+     * endpoints are still listed, and a long prompt with several helpers would try them one by one.
      */
-    suspects(dataCentre: string): boolean {
-        return this.clock.now() < (this.suspectUntil.get(dataCentre) ?? 0);
+    isSuspect(dataCentre: string): boolean {
+        return this.clock.now() < (this.suspectUntilByDataCentre.get(dataCentre) ?? 0);
     }
 
-    /** The share of failures of late, from 0 to 1. */
-    share(endpoint: string): number {
-        const record = this.records.get(endpoint);
-        return record ? this.decayed(record) : 0;
+    /** Share of recent sends that failed, from 0 to 1. */
+    failureShare(endpoint: string): number {
+        const record = this.recordByEndpoint.get(endpoint);
+        return record ? this.decayedShare(record) : 0;
     }
 
-    resting(endpoint: string): boolean {
-        return this.clock.now() < (this.records.get(endpoint)?.restUntil ?? 0);
+    isBackingOff(endpoint: string): boolean {
+        return this.clock.now() < (this.recordByEndpoint.get(endpoint)?.backOffUntil ?? 0);
     }
 
-    private rest(id: string): void {
-        this.noteFailure(id);
-        const record = this.record(id);
-        record.silent++;
-        record.restUntil = this.clock.now() + Math.min(longestRest, firstRest * 2 ** (record.silent - 1));
+    private backOff(id: string): void {
+        this.applyFailure(id);
+        const record = this.getOrCreateRecord(id);
+        record.noResponseCount++;
+        record.backOffUntil = this.clock.now()
+            + Math.min(maximumBackOffDuration, initialBackOffDuration * 2 ** (record.noResponseCount - 1));
     }
 
-    private noteLoss(loss: Loss): void {
-        this.losses = this.losses.filter(({ at, endpoint }) => loss.at - at < lostWithin && endpoint !== loss.endpoint);
-        this.losses.push(loss);
-        const together = this.losses.every(({ dataCentre }) => dataCentre === loss.dataCentre);
-        if (together && this.losses.length >= lostTogether) {
-            this.suspectUntil.set(loss.dataCentre, loss.at + suspicionTime);
+    private detectDataCentreLoss(loss: EndpointLoss): void {
+        this.recentLosses = this.recentLosses.filter(({ lostAt, endpoint }) =>
+            loss.lostAt - lostAt < correlatedLossWindow && endpoint !== loss.endpoint
+        );
+        this.recentLosses.push(loss);
+        const areInOneDataCentre = this.recentLosses.every(({ dataCentre }) => dataCentre === loss.dataCentre);
+        if (areInOneDataCentre && this.recentLosses.length >= correlatedLossCount) {
+            this.suspectUntilByDataCentre.set(loss.dataCentre, loss.lostAt + suspicionDuration);
         }
     }
 
-    private decayed(record: Record): number {
-        return record.share * 0.5 ** ((this.clock.now() - record.at) / halfLife);
+    private decayedShare(record: FailureRecord): number {
+        return record.failureShare * 0.5 ** ((this.clock.now() - record.updatedAt) / failureHalfLife);
     }
 
-    private record(endpoint: string): Record {
-        let record = this.records.get(endpoint);
+    private getOrCreateRecord(endpoint: string): FailureRecord {
+        let record = this.recordByEndpoint.get(endpoint);
         if (!record) {
-            record = { share: 0, at: this.clock.now(), silent: 0, restUntil: 0 };
-            this.records.set(endpoint, record);
+            record = { failureShare: 0, updatedAt: this.clock.now(), noResponseCount: 0, backOffUntil: 0 };
+            this.recordByEndpoint.set(endpoint, record);
         }
         return record;
     }
--- a/src/core/placement/loadEstimator.ts
+++ b/src/core/placement/loadEstimator.ts
@@ -1,181 +1,185 @@
 /**
- * What is believed to be in progress at each endpoint: this entry's own requests, and those that other entries told of.
+ * Estimates the work in progress at each endpoint from this entry's own requests and the updates of other entries.
  *
- * The belief decays by itself: work ends by its deadline at the latest, and engines go on by their published speeds.
+ * The estimates are soft state: work ends by its deadline at the latest, and engines are assumed to progress at their
+ * published speeds.
  */
 import type { EngineProfile } from "../../types/routing.js";
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { EngineEstimate, type EstimatedWork, type PlacedWork, WorkPart } from "./engineEstimate.js";
 
-/** Work in progress as one entry tells it to another that has just started: times as what is left of them. */
+/** Work in progress as sent to an entry that has just started, with remaining durations instead of points in time. */
 export type WorkInProgress = Omit<PlacedWork, "endsBy"> & { endsIn: Milliseconds; writing: boolean; };
 
-/** Work that was found to be over. */
+/** Work that is no longer in progress. */
 export interface EndedWork {
     endpoint: string;
     id: string;
 }
 
-/** What is in progress at one endpoint. */
+/** Estimated load of one endpoint. */
 export interface EndpointLoad {
-    /** Requests of all phases, without parts for other endpoints. */
-    requests: number;
-    /** Those of them that a new request may overtake: they wait and yield. */
-    overtakable: number;
-    /** Requests that read, parts for other endpoints included. */
-    readers: number;
-    writers: number;
-    /** Context that each step goes through, in tokens: of the writers, and of parts held for other endpoints. */
+    /** Requests in any phase, without parts for other endpoints. */
+    requestCount: number;
+    /** Requests among them that wait and yield, so that a new request may overtake them. */
+    yieldingCount: number;
+    /** Requests in prefill, including parts for other endpoints. */
+    prefillCount: number;
+    decodeCount: number;
+    /** Context that each step processes, in tokens: of decoding requests, and of parts held for other endpoints. */
     contextTokens: number;
-    /** Memory taken by all that is in progress, in tokens. */
+    /** Memory in use by all work in progress, in tokens. */
     memoryTokens: number;
-    /** Time until the pass that runs is over. */
-    passLeft: Milliseconds;
-    /** Time to read what waits for a later pass. */
-    readBacklog: Milliseconds;
+    /** Time until the running pass ends. */
+    remainingPassTime: Milliseconds;
+    /** Time to prefill the prompts that wait for a later pass. */
+    prefillBacklog: Milliseconds;
     /**
-     * How much longer than predicted the oldest request here has waited without any other's first event. It tells of what no
-     * prediction knows: an engine that is slow, or stalls, or was given work by somebody who can't be heard.
+     * Time by which the oldest request has exceeded its predicted first event while no other request had one. It reveals
+     * what no prediction covers: an engine that is slow or stalls, or work placed by an unreachable entry.
      */
-    overdue: Milliseconds;
-    /** Who reads and who writes here, as far as they mind waiting. */
-    reading: WaitingRequest[];
-    writing: WaitingRequest[];
+    overdueTime: Milliseconds;
+    /** Requests in prefill and in decode whose callers have a target gap. */
+    prefilling: WaitingRequest[];
+    decoding: WaitingRequest[];
 }
 
-/** Time until all that an endpoint reads now, and all that waits to be read, is done. */
-export const readWait = (load: EndpointLoad): Milliseconds => load.passLeft + load.readBacklog;
+/** Time until an endpoint has finished its running pass and its prefill backlog. */
+export const prefillWait = (load: EndpointLoad): Milliseconds => load.remainingPassTime + load.prefillBacklog;
 
 /** A request that waits for its next event. */
 export interface WaitingRequest {
-    /** The longest pause that its caller wants. */
+    /** The longest gap between events that its caller accepts. */
     targetGap: Milliseconds;
     value: number;
 }
 
 /**
- * An end is remembered for so long. Messages overtake one another, and work whose end came first would otherwise seem to
- * go on until its deadline, on an endpoint that is idle.
+ * How long ends of unknown work are remembered. Messages can arrive out of order; without this memory, work whose end
+ * arrives first would seem to run until its deadline on an idle endpoint.
  */
-const endRemembered: Milliseconds = 1_000;
+const endRetention: Milliseconds = 1_000;
 
-const idle: EndpointLoad = {
-    requests: 0,
-    overtakable: 0,
-    readers: 0,
-    writers: 0,
+const idleLoad: EndpointLoad = {
+    requestCount: 0,
+    yieldingCount: 0,
+    prefillCount: 0,
+    decodeCount: 0,
     contextTokens: 0,
     memoryTokens: 0,
-    passLeft: 0,
-    readBacklog: 0,
-    overdue: 0,
-    reading: [],
-    writing: [],
+    remainingPassTime: 0,
+    prefillBacklog: 0,
+    overdueTime: 0,
+    prefilling: [],
+    decoding: [],
 };
 
-/** Work in progress by endpoint. */
+/** Estimates work in progress by endpoint. */
 export class LoadEstimator {
-    private readonly beliefs = new Map<string, EngineEstimate>();
-    /** Where the parts of work are placed. */
-    private readonly endpointsOf = new Map<string, string[]>();
-    /** When work ended that wasn't known, by endpoint and work. */
-    private readonly ends = new Map<string, Milliseconds>();
+    private readonly estimateByEndpoint = new Map<string, EngineEstimate>();
+    /** Ids of the endpoints that have parts of a work, by work id. */
+    private readonly endpointsByWork = new Map<string, string[]>();
+    /** End times of work that was unknown when its end arrived, by endpoint and work id. */
+    private readonly endTimes = new Map<string, Milliseconds>();
 
-    /** `engineOf` gives the speeds of an endpoint's engine; undefined for plain services. */
+    /** `engineOf` returns the speeds of an endpoint's engine; undefined for plain services. */
     constructor(
         private readonly clock: Clock,
         private readonly engineOf: (endpoint: string) => EngineProfile | undefined,
     ) {}
 
-    /** Notes that work was placed. */
-    place(work: PlacedWork): void {
+    /** Records that work was placed. */
+    recordPlaced(work: PlacedWork): void {
         const now = this.clock.now();
         const { id, endpoint } = work;
-        if (now - (this.ends.get(endKey(endpoint, id)) ?? -Infinity) < endRemembered) {
+        if (now - (this.endTimes.get(endKey(endpoint, id)) ?? -Infinity) < endRetention) {
             return;
         }
-        let belief = this.beliefs.get(endpoint);
-        if (!belief) {
-            belief = new EngineEstimate(() => this.engineOf(endpoint));
-            this.beliefs.set(endpoint, belief);
+        let estimate = this.estimateByEndpoint.get(endpoint);
+        if (!estimate) {
+            estimate = new EngineEstimate(() => this.engineOf(endpoint));
+            this.estimateByEndpoint.set(endpoint, estimate);
         }
-        if (belief.works.has(id)) {
-            // Told twice; counted again it would seem to read behind itself.
+        if (estimate.workById.has(id)) {
+            // A duplicate update; counting the work twice would make it wait behind itself.
             return;
         }
-        belief.add({ ...work, placedAt: now, writing: false, begun: false, readLeft: work.readTime }, now);
-        this.endpointsOf.set(id, [...this.endpointsOf.get(id) ?? [], endpoint]);
+        estimate.add(
+            { ...work, placedAt: now, writing: false, hasFirstEvent: false, remainingReadTime: work.readTime },
+            now,
+        );
+        this.endpointsByWork.set(id, [...this.endpointsByWork.get(id) ?? [], endpoint]);
     }
 
-    /** Notes that work writes now; its reading is done, and so are the parts that others read for it. */
-    writes(endpoint: string, id: string): void {
-        const belief = this.beliefs.get(endpoint);
-        const work = belief?.works.get(id);
-        if (!belief || !work) {
+    /** Records that work has started to decode, so its prefill and the parts of its helpers are complete. */
+    recordWriting(endpoint: string, id: string): void {
+        const estimate = this.estimateByEndpoint.get(endpoint);
+        const work = estimate?.workById.get(id);
+        if (!estimate || !work) {
             return;
         }
         const now = this.clock.now();
-        for (const place of this.endpointsOf.get(id) ?? []) {
-            this.beliefs.get(place)?.noteRead(id, now);
+        for (const partEndpoint of this.endpointsByWork.get(id) ?? []) {
+            this.estimateByEndpoint.get(partEndpoint)?.completePrefill(id, now);
         }
         work.writing = true;
-        work.begun = true;
-        belief.progressAt = now;
-        belief.advance(now);
+        work.hasFirstEvent = true;
+        estimate.lastFirstEventAt = now;
+        estimate.advance(now);
     }
 
-    /** Notes that work has ended. */
-    end(endpoint: string, id: string): void {
-        if (this.beliefs.get(endpoint)?.works.has(id)) {
+    /** Records that work has ended. */
+    recordEnded(endpoint: string, id: string): void {
+        if (this.estimateByEndpoint.get(endpoint)?.workById.has(id)) {
             this.remove(endpoint, id);
             return;
         }
         const now = this.clock.now();
-        this.ends.set(endKey(endpoint, id), now);
-        for (const [key, at] of this.ends) {
-            if (now - at < endRemembered) {
+        this.endTimes.set(endKey(endpoint, id), now);
+        for (const [key, endedAt] of this.endTimes) {
+            if (now - endedAt < endRetention) {
                 break;
             }
-            this.ends.delete(key);
+            this.endTimes.delete(key);
         }
     }
 
-    /** All work in progress, for an entry that has just started. */
+    /** Returns all work in progress, for an entry that has just started. */
     inProgress(): WorkInProgress[] {
         const now = this.clock.now();
-        const all: WorkInProgress[] = [];
-        for (const belief of this.beliefs.values()) {
-            belief.advance(now);
-            for (const { placedAt, readLeft, begun, endsBy, ...work } of belief.works.values()) {
+        const workInProgress: WorkInProgress[] = [];
+        for (const estimate of this.estimateByEndpoint.values()) {
+            estimate.advance(now);
+            for (const { placedAt, remainingReadTime, hasFirstEvent, endsBy, ...work } of estimate.workById.values()) {
                 if (now < endsBy && placedAt <= now) {
-                    all.push({
+                    workInProgress.push({
                         ...work,
-                        ...restOf(work, readLeft),
-                        writing: begun || work.writing,
+                        ...remainingPrefill(work, remainingReadTime),
+                        writing: hasFirstEvent || work.writing,
                         endsIn: endsBy - now,
                     });
                 }
             }
         }
-        return all;
+        return workInProgress;
     }
 
-    /** Takes what another entry knows to be in progress; what is known here already stays as it is. */
-    learn(works: readonly WorkInProgress[]): void {
+    /** Merges work in progress that another entry sent; work that is already known stays unchanged. */
+    merge(works: readonly WorkInProgress[]): void {
         const now = this.clock.now();
         for (const { endsIn, writing, ...work } of works) {
-            this.place({ ...work, endsBy: now + endsIn });
+            this.recordPlaced({ ...work, endsBy: now + endsIn });
             if (writing) {
-                this.writes(work.endpoint, work.id);
+                this.recordWriting(work.endpoint, work.id);
             }
         }
     }
 
-    /** Drops what `owner` placed before `before` and doesn't name in `inProgress`; returns what it drops. */
-    keepOnly(owner: string, inProgress: ReadonlySet<string>, before: Milliseconds): EndedWork[] {
+    /** Removes work that `owner` placed before `before` and that is not in `inProgress`; returns the removed work. */
+    retainOnly(owner: string, inProgress: ReadonlySet<string>, before: Milliseconds): EndedWork[] {
         const ended: EndedWork[] = [];
-        for (const [endpoint, { works }] of this.beliefs) {
-            for (const work of works.values()) {
+        for (const [endpoint, { workById }] of this.estimateByEndpoint) {
+            for (const work of workById.values()) {
                 if (work.owner === owner && work.placedAt <= before && !inProgress.has(work.id)) {
                     this.remove(endpoint, work.id);
                     ended.push({ endpoint, id: work.id });
@@ -185,81 +189,87 @@
         return ended;
     }
 
-    /** What is in progress at `endpoint` now. */
-    load(endpoint: string): EndpointLoad {
-        const belief = this.beliefs.get(endpoint);
-        if (!belief || belief.works.size === 0) {
-            return idle;
+    /** Returns the estimated load of `endpoint` now. */
+    loadOf(endpoint: string): EndpointLoad {
+        const estimate = this.estimateByEndpoint.get(endpoint);
+        if (!estimate || estimate.workById.size === 0) {
+            return idleLoad;
         }
         const now = this.clock.now();
-        belief.advance(now);
-        const load: EndpointLoad = { ...idle, reading: [], writing: [], passLeft: belief.passLeft(now) };
-        for (const work of belief.works.values()) {
-            if (now >= work.endsBy || (work.part === WorkPart.Read && work.readLeft <= 0)) {
+        estimate.advance(now);
+        const load: EndpointLoad = {
+            ...idleLoad,
+            prefilling: [],
+            decoding: [],
+            remainingPassTime: estimate.remainingPassTime(now),
+        };
+        for (const work of estimate.workById.values()) {
+            if (now >= work.endsBy || (work.part === WorkPart.Read && work.remainingReadTime <= 0)) {
                 this.remove(endpoint, work.id);
                 continue;
             }
-            addWork(load, work, belief.unread(work));
-            load.overdue = Math.max(load.overdue, overdueOf(work, belief.progressAt, now));
+            addToLoad(load, work, estimate.prefillAfterPass(work));
+            load.overdueTime = Math.max(load.overdueTime, overdueDuration(work, estimate.lastFirstEventAt, now));
         }
         return load;
     }
 
     private remove(endpoint: string, id: string): void {
-        this.beliefs.get(endpoint)?.remove(id, this.clock.now());
-        const places = this.endpointsOf.get(id)?.filter(place => place !== endpoint) ?? [];
-        if (places.length > 0) {
-            this.endpointsOf.set(id, places);
+        this.estimateByEndpoint.get(endpoint)?.remove(id, this.clock.now());
+        const remainingEndpoints = this.endpointsByWork.get(id)?.filter(partEndpoint => partEndpoint !== endpoint)
+            ?? [];
+        if (remainingEndpoints.length > 0) {
+            this.endpointsByWork.set(id, remainingEndpoints);
         }
         else {
-            this.endpointsOf.delete(id);
+            this.endpointsByWork.delete(id);
         }
     }
 }
 
-/** Work that was read in part goes on as shorter work. */
-const restOf = (work: Omit<PlacedWork, "endsBy">, readLeft: Milliseconds) => ({
-    readTime: readLeft,
-    readTokens: work.readTime > 0 ? work.readTokens * readLeft / work.readTime : 0,
+/** Work with a partial prefill continues as work with a shorter prefill. */
+const remainingPrefill = (work: Omit<PlacedWork, "endsBy">, remainingReadTime: Milliseconds) => ({
+    readTime: remainingReadTime,
+    readTokens: work.readTime > 0 ? work.readTokens * remainingReadTime / work.readTime : 0,
 });
 
-/** The work waits for its first event, or for the word of it, although it must be there by now. */
-const overdueOf = (work: EstimatedWork, progressAt: Milliseconds, now: Milliseconds): Milliseconds =>
-    work.firstEventIn === undefined || work.yielding || work.begun
+/** Time by which the work's first event, or the update about it, is later than predicted. */
+const overdueDuration = (work: EstimatedWork, lastFirstEventAt: Milliseconds, now: Milliseconds): Milliseconds =>
+    work.firstEventIn === undefined || work.yielding || work.hasFirstEvent
         ? 0
-        : now - Math.max(work.placedAt + work.firstEventIn, progressAt);
+        : now - Math.max(work.placedAt + work.firstEventIn, lastFirstEventAt);
 
-const noteWaiting = (list: WaitingRequest[], { targetGap, value }: EstimatedWork): void => {
+const addWaitingRequest = (waitingRequests: WaitingRequest[], { targetGap, value }: EstimatedWork): void => {
     if (targetGap !== undefined) {
-        list.push({ targetGap, value });
+        waitingRequests.push({ targetGap, value });
     }
 };
 
 const endKey = (endpoint: string, id: string): string => `${endpoint} ${id}`;
 
-const addWork = (load: EndpointLoad, work: EstimatedWork, unread: Milliseconds): void => {
+const addToLoad = (load: EndpointLoad, work: EstimatedWork, prefillAfterPass: Milliseconds): void => {
     if (work.part === WorkPart.Hold) {
         load.memoryTokens += work.contextTokens;
-        if (work.readLeft <= 0) {
+        if (work.remainingReadTime <= 0) {
             load.contextTokens += work.contextTokens;
             return;
         }
     }
     else if (work.part === WorkPart.Main) {
-        load.requests++;
+        load.requestCount++;
         load.memoryTokens += work.contextTokens;
     }
     if (!work.writing) {
         if (work.yielding) {
-            load.overtakable++;
+            load.yieldingCount++;
             return;
         }
-        load.readers++;
-        load.readBacklog += unread;
-        noteWaiting(load.reading, work);
+        load.prefillCount++;
+        load.prefillBacklog += prefillAfterPass;
+        addWaitingRequest(load.prefilling, work);
         return;
     }
-    load.writers++;
+    load.decodeCount++;
     load.contextTokens += work.contextTokens;
-    noteWaiting(load.writing, work);
+    addWaitingRequest(load.decoding, work);
 };
--- a/src/core/placement/placementClient.ts
+++ b/src/core/placement/placementClient.ts
@@ -1,8 +1,9 @@
 /**
- * Where this entry's requests go: asked of an entry that chooses for all near it, or chosen here.
+ * Finds endpoints for this entry's requests: asks a placer, or chooses locally when no placer answers.
  *
- * An entry that chooses for others knows what they place; this one then needs to hear of none of it. Without an answer it
- * chooses by what little it knows, which costs waits and nothing else: what may be sent at all is judged here in any case.
+ * A placer chooses for all entries near it and knows their placements, so those entries need no load updates from one
+ * another. Without an answer, this entry chooses by its own incomplete estimates, which costs waiting time only: this
+ * entry itself checks in any case whether an endpoint may receive requests.
  */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { PartLog } from "../../utils/log.js";
@@ -17,183 +18,200 @@
     type Placement,
     type PlacementRequirements,
 } from "./endpointSelector.js";
-import { readWait } from "./loadEstimator.js";
+import { prefillWait } from "./loadEstimator.js";
 import type { PlacementAnswer, PlacementQuestion, SerializedPlacement } from "./placementQuestion.js";
 import { endpointsOfPlacement, workOfPlacement } from "./placementWork.js";
 import type { SharedLoadEstimator } from "./sharedLoadEstimator.js";
 
-/** An answer takes a few milliseconds; an instance whose share of a processor is used up waits for longer than this. */
-const answerAtMost: Milliseconds = 40;
-/** Placers that are asked for one request; only one while others give no answer, as it may be this entry that is cut off. */
-const askedAtMost = 2;
-/** Where fewer endpoints than this part have got less than they named, those are asked for more that bear it. */
-const leastWithinPart = 0.5;
-/** Questions whose answer may still come. */
-const lateRemembered = 64;
+/**
+ * A placer answers within a few milliseconds, except on an instance whose processor quota is exhausted; that delay is
+ * longer than this timeout.
+ */
+const answerTimeout: Milliseconds = 40;
+/**
+ * Placers asked per request. While some placers are unresponsive only one is asked, as this entry itself may be cut off.
+ */
+const maximumPlacersAsked = 2;
+/**
+ * Where a smaller share of the endpoints than this is below its advertised limit, endpoints may also receive the
+ * tolerated excess.
+ */
+const minimumShareWithinLimit = 0.5;
+/** Timed-out questions that are remembered so that a late answer can be undone. */
+const maximumLateQuestions = 64;
 
-/** What asking needs of the other entries. */
+/** Access to the placers among the peers. */
 export interface PlacerPeers {
-    /** Who may be asked now, in this order; none where this entry chooses itself. */
+    /** Placers to ask now, in this order; empty where this entry chooses itself. */
     placersToAsk(): readonly PlacerCandidate[];
-    /** Whether some of them gave no answer of late. */
+    /** Whether some placers did not answer recently. */
     placersRest(): boolean;
-    /** Notes that an entry gave no answer. */
+    /** Records that a placer did not answer. */
     notePlacerSilent(id: string): void;
     askPlacement(address: string, question: PlacementQuestion): void;
 }
 
-/** What choosing needs. */
-export interface PlacingParts {
+/** Dependencies of {@link PlacementClient}. */
+export interface PlacementClientDependencies {
     clock: Clock;
     log: PartLog;
     metrics: Metrics;
-    /** Names this entry. */
+    /** Id of this entry. */
     entry: string;
     directory: EndpointDirectory;
-    cold: ColdBudget;
+    coldBudget: ColdBudget;
     limits: EndpointLimits;
-    placer: EndpointSelector;
+    selector: EndpointSelector;
     loads: SharedLoadEstimator;
     peers: PlacerPeers;
 }
 
-/** A request that looks for an endpoint. */
+/** A request that needs an endpoint. */
 export interface PlacementRequest {
     id: string;
     requirements: PlacementRequirements;
-    /** When it has ended at the latest. */
+    /** Time by which the request has ended at the latest. */
     endsBy: Milliseconds;
 }
 
-/** Where a request would go that leaves a silent endpoint, and how long that one still reads what it has. */
-export interface Alternative {
+/** Where a request could move from an unresponsive endpoint, and how long that endpoint still needs for its prefills. */
+export interface AlternativePlacement {
     placement: Placement | undefined;
     busyFor: Milliseconds;
 }
 
-/** An answer, and who gave it. */
-interface Answered {
+/** An answer with the placer that gave it. */
+interface PlacerAnswer {
     placer: string;
     answer: PlacementAnswer;
 }
 
-type Waiter = (answer: PlacementAnswer | undefined) => void;
+type AnswerCallback = (answer: PlacementAnswer | undefined) => void;
 
 /** Chooses endpoints for this entry's requests. */
 export class PlacementClient {
-    private serial = 0;
-    private readonly waiting = new Map<number, Waiter>();
-    /** Requests whose answer didn't come in time, by question. */
-    private readonly late = new Map<number, string>();
+    private lastSerial = 0;
+    private readonly pendingAnswers = new Map<number, AnswerCallback>();
+    /** Ids of the requests whose question timed out, by the question's serial number. */
+    private readonly requestIdByLateQuestion = new Map<number, string>();
 
-    constructor(private readonly parts: PlacingParts) {}
+    constructor(private readonly dependencies: PlacementClientDependencies) {}
 
-    /** The best endpoint now; undefined when there is none. */
+    /** Returns the best placement now; undefined when there is none. */
     async choose(request: PlacementRequest): Promise<Placement | undefined> {
-        if (this.parts.peers.placersToAsk().length === 0) {
-            return this.chooseHere(request);
+        if (this.dependencies.peers.placersToAsk().length === 0) {
+            return this.chooseLocally(request);
         }
-        const answered = await this.ask(request, undefined);
-        if (answered?.answer.type === "NoEndpoint" && exceedsOneEngine(request.requirements)) {
-            // Only who knows all work in progress knows where memory is free.
+        const reply = await this.askPlacers(request, undefined);
+        if (reply?.answer.type === "NoEndpoint" && exceedsOneEngine(request.requirements)) {
+            // Only the placer knows all work in progress, and so where memory is free.
             return undefined;
         }
-        if (answered?.answer.type === "Chosen") {
-            const { placer, answer } = answered;
-            const placement = this.resolve(request, answer.placement);
+        if (reply?.answer.type === "Chosen") {
+            const { placer, answer } = reply;
+            const placement = this.resolvePlacement(request, answer.placement);
             if (placement) {
-                return this.note(request, { ...placement, chosenBy: placer }, true);
+                return this.recordPlacement(request, { ...placement, chosenBy: placer }, true);
             }
-            this.refuse(request, answer.placement);
+            this.rejectPlacement(request, answer.placement);
         }
-        this.parts.metrics.count("placements_without_placer_total");
-        return this.chooseHere(request);
+        this.dependencies.metrics.count("placements_without_placer_total");
+        return this.chooseLocally(request);
     }
 
-    /** Where else a request would go that may leave `endpoint`; nothing is noted. */
-    async findAlternative(request: PlacementRequest, endpoint: string): Promise<Alternative> {
-        const answer = (await this.ask(request, endpoint))?.answer;
+    /** Returns where a request could go instead of `endpoint`; records no placement. */
+    async findAlternative(request: PlacementRequest, endpoint: string): Promise<AlternativePlacement> {
+        const answer = (await this.askPlacers(request, endpoint))?.answer;
         if (answer?.type === "Chosen") {
-            return { placement: this.resolve(request, answer.placement, endpoint), busyFor: answer.busyFor };
+            return { placement: this.resolvePlacement(request, answer.placement, endpoint), busyFor: answer.busyFor };
         }
-        const busyFor = readWait(this.parts.loads.load(endpoint));
-        const placement = this.parts.placer.select(request.requirements, this.candidates(request, endpoint));
+        const busyFor = prefillWait(this.dependencies.loads.loadOf(endpoint));
+        const placement = this.dependencies.selector.select(request.requirements, this.candidates(request, endpoint));
         return { placement, busyFor };
     }
 
-    /** Takes another entry's answer. */
+    /** Receives a placer's answer. A late answer's placement is undone, as the request went elsewhere. */
     receiveAnswer(answer: PlacementAnswer): void {
-        const waiter = this.waiting.get(answer.serial);
-        if (waiter) {
-            waiter(answer);
+        const resolveAnswer = this.pendingAnswers.get(answer.serial);
+        if (resolveAnswer) {
+            resolveAnswer(answer);
             return;
         }
-        const requestId = this.late.get(answer.serial);
+        const requestId = this.requestIdByLateQuestion.get(answer.serial);
         if (requestId !== undefined && answer.type === "Chosen") {
             const { endpoint, helpers } = answer.placement;
-            this.parts.loads.recordEnded([endpoint, ...helpers], requestId);
+            this.dependencies.loads.recordEnded([endpoint, ...helpers], requestId);
         }
     }
 
-    /** A placement won't be used. */
+    /** Removes a placement that won't be used from the load estimates. */
     release(placement: Placement, id: string): void {
         if (placement.recorded) {
-            this.parts.loads.recordEnded(endpointsOfPlacement(placement), id);
+            this.dependencies.loads.recordEnded(endpointsOfPlacement(placement), id);
         }
     }
 
     /**
-     * Endpoints that this entry may send a request to now. Where most have got what they named, all are left that bear a little
-     * more: the few others would be filled up, and callers turned away.
+     * Returns the endpoints that may receive a request from this entry now. Where most endpoints have reached their
+     * advertised limit, those that tolerate some excess are included: the few others would be overloaded, and callers
+     * rejected.
      */
-    candidates({ requirements: { service } }: PlacementRequest, without?: string): KnownEndpoint[] {
-        const { clock, cold, directory, limits } = this.parts;
-        const open = directory.usable(service.name).filter(({ record, coldUntil }) =>
-            record.id !== without
-            && (clock.now() >= coldUntil || cold.allows(record.id, service.coldRequestsPerSecond))
+    candidates({ requirements: { service } }: PlacementRequest, excludedEndpoint?: string): KnownEndpoint[] {
+        const { clock, coldBudget, directory, limits } = this.dependencies;
+        const available = directory.usable(service.name).filter(({ record, coldUntil }) =>
+            record.id !== excludedEndpoint
+            && (clock.now() >= coldUntil || coldBudget.allows(record.id, service.coldRequestsPerSecond))
         );
-        const within = open.filter(({ record }) => limits.allows(record.id, Allowance.Named));
-        return within.length >= leastWithinPart * open.length
-            ? within
-            : open.filter(({ record }) => limits.allows(record.id, Allowance.Excess));
+        const withinLimit = available.filter(({ record }) => limits.allows(record.id, Allowance.Named));
+        return withinLimit.length >= minimumShareWithinLimit * available.length
+            ? withinLimit
+            : available.filter(({ record }) => limits.allows(record.id, Allowance.Excess));
     }
 
-    /** Time until an endpoint whose limit is used up has room again; undefined where there is none. */
+    /** Time until an endpoint at its limit has capacity again; undefined where no endpoint is at its limit. */
     timeUntilCapacity({ requirements: { service } }: PlacementRequest): Milliseconds | undefined {
-        const spent = this.spent(service.name);
-        return spent.length === 0 ? undefined : Math.min(...spent.map(id => this.parts.limits.timeUntilCapacity(id)));
+        const endpointsAtLimit = this.endpointsAtLimit(service.name);
+        return endpointsAtLimit.length === 0
+            ? undefined
+            : Math.min(...endpointsAtLimit.map(id => this.dependencies.limits.timeUntilCapacity(id)));
     }
 
-    /** Endpoints that have got this entry's share of what they take. */
-    private spent(service: string): string[] {
-        const { directory, limits } = this.parts;
+    /** Endpoints that have received this entry's share of their advertised limit. */
+    private endpointsAtLimit(service: string): string[] {
+        const { directory, limits } = this.dependencies;
         return directory.usable(service).map(({ record }) => record.id).filter(id =>
             !limits.allows(id, Allowance.Named)
         );
     }
 
-    private chooseHere(request: PlacementRequest): Placement | undefined {
-        const placement = this.parts.placer.select(request.requirements, this.candidates(request));
-        return placement && this.note(request, placement, false);
+    private chooseLocally(request: PlacementRequest): Placement | undefined {
+        const placement = this.dependencies.selector.select(request.requirements, this.candidates(request));
+        return placement && this.recordPlacement(request, placement, false);
     }
 
-    /** Work is noted with the choice: another request may be placed before this one is sent. */
-    private note(request: PlacementRequest, placement: Placement, known: boolean): Placement {
+    /** Adds the placement to the load estimates before the send, as another request may be placed in between. */
+    private recordPlacement(request: PlacementRequest, placement: Placement, isKnownToPeers: boolean): Placement {
         if (placement.postponed) {
             return placement;
         }
         const { id, endsBy, requirements: { promptTokens, targetGap } } = request;
-        const { loads, entry } = this.parts;
-        loads.recordPlaced(workOfPlacement(placement, { id, owner: entry, promptTokens, targetGap, endsBy }), known);
+        const { loads, entry } = this.dependencies;
+        loads.recordPlaced(
+            workOfPlacement(placement, { id, owner: entry, promptTokens, targetGap, endsBy }),
+            isKnownToPeers,
+        );
         return { ...placement, recorded: true };
     }
 
-    /** Asks one placer after the other; undefined when none answers. */
-    private async ask(request: PlacementRequest, without: string | undefined): Promise<Answered | undefined> {
-        const { peers, log } = this.parts;
-        const limit = peers.placersRest() ? 1 : askedAtMost;
+    /** Asks one placer after another; undefined when none answers. */
+    private async askPlacers(
+        request: PlacementRequest,
+        excludedEndpoint: string | undefined,
+    ): Promise<PlacerAnswer | undefined> {
+        const { peers, log } = this.dependencies;
+        const limit = peers.placersRest() ? 1 : maximumPlacersAsked;
         for (const { id, address } of peers.placersToAsk().slice(0, limit)) {
-            const answer = await this.askOne(address, request, without);
+            const answer = await this.askPlacer(address, request, excludedEndpoint);
             if (answer && answer.type !== "Declined") {
                 return { placer: id, answer };
             }
@@ -207,94 +225,110 @@
         return undefined;
     }
 
-    private askOne(
+    private askPlacer(
         address: string,
         request: PlacementRequest,
-        without: string | undefined,
+        excludedEndpoint: string | undefined,
     ): Promise<PlacementAnswer | undefined> {
-        const { clock, peers } = this.parts;
-        const serial = ++this.serial;
+        const { clock, peers } = this.dependencies;
+        const serial = ++this.lastSerial;
         return new Promise(resolve => {
-            const stopTimer = clock.after(answerAtMost, () => {
-                this.noteLate(serial, without === undefined ? request.id : undefined);
+            const stopTimer = clock.after(answerTimeout, () => {
+                this.rememberLateQuestion(serial, excludedEndpoint === undefined ? request.id : undefined);
                 finish(undefined);
             });
-            const finish: Waiter = answer => {
+            const finish: AnswerCallback = answer => {
                 stopTimer();
-                this.waiting.delete(serial);
+                this.pendingAnswers.delete(serial);
                 resolve(answer);
             };
-            this.waiting.set(serial, finish);
-            peers.askPlacement(address, this.question(serial, request, without));
+            this.pendingAnswers.set(serial, finish);
+            peers.askPlacement(address, this.buildQuestion(serial, request, excludedEndpoint));
         });
     }
 
-    private noteLate(serial: number, requestId: string | undefined): void {
+    private rememberLateQuestion(serial: number, requestId: string | undefined): void {
         if (requestId === undefined) {
             return;
         }
-        this.late.set(serial, requestId);
-        for (const oldest of this.late.keys()) {
-            if (this.late.size <= lateRemembered) {
+        this.requestIdByLateQuestion.set(serial, requestId);
+        for (const oldestSerial of this.requestIdByLateQuestion.keys()) {
+            if (this.requestIdByLateQuestion.size <= maximumLateQuestions) {
                 break;
             }
-            this.late.delete(oldest);
+            this.requestIdByLateQuestion.delete(oldestSerial);
         }
     }
 
-    private question(serial: number, request: PlacementRequest, without: string | undefined): PlacementQuestion {
-        const { clock } = this.parts;
-        const { service, broken, refused, lacking, dataCentre, ...need } = request.requirements;
+    private buildQuestion(
+        serial: number,
+        request: PlacementRequest,
+        excludedEndpoint: string | undefined,
+    ): PlacementQuestion {
+        const { clock } = this.dependencies;
+        const {
+            service,
+            failedEndpoints,
+            rejectedEndpoints,
+            endpointsWithoutMemory,
+            dataCentre,
+            ...unchangedRequirements
+        } = request.requirements;
         void dataCentre;
         const now = clock.now();
         const candidates = this.candidates(request);
-        const allowed = new Set(candidates.map(({ record }) => record.id));
-        const coldOnes = candidates.filter(({ coldUntil }) => now < coldUntil);
+        const allowedIds = new Set(candidates.map(({ record }) => record.id));
+        const coldCandidates = candidates.filter(({ coldUntil }) => now < coldUntil);
         return {
-            ...need,
+            ...unchangedRequirements,
             serial,
             requestId: request.id,
             service: service.name,
-            broken: [...broken],
-            refused: [...refused],
-            lacking: [...lacking],
-            cold: coldOnes.map(({ record }) => record.id),
-            spent: this.spent(service.name).filter(id => !allowed.has(id)),
+            broken: [...failedEndpoints],
+            refused: [...rejectedEndpoints],
+            lacking: [...endpointsWithoutMemory],
+            cold: coldCandidates.map(({ record }) => record.id),
+            spent: this.endpointsAtLimit(service.name).filter(id => !allowedIds.has(id)),
             endsIn: request.endsBy - now,
-            without,
+            without: excludedEndpoint,
         };
     }
 
-    /** The placement with its endpoints as this entry knows them; undefined where one may not get work. */
-    private resolve(
+    /** Resolves endpoint ids to endpoints that this entry knows; undefined where one of them may not receive requests. */
+    private resolvePlacement(
         request: PlacementRequest,
-        { endpoint, helpers, shares, ...rest }: SerializedPlacement,
-        without?: string,
+        { endpoint, helpers, shares, ...predictions }: SerializedPlacement,
+        excludedEndpoint?: string,
     ): Placement | undefined {
-        const usable = new Map(this.candidates(request, without).map(known => [known.record.id, known]));
-        const first = usable.get(endpoint);
-        const others = helpers.map(id => usable.get(id)).filter(known => known !== undefined);
-        if (!first || others.length !== helpers.length) {
+        const candidateById = new Map(
+            this.candidates(request, excludedEndpoint).map(candidate => [candidate.record.id, candidate]),
+        );
+        const mainEndpoint = candidateById.get(endpoint);
+        const helperEndpoints = helpers.map(id => candidateById.get(id)).filter(helper => helper !== undefined);
+        if (!mainEndpoint || helperEndpoints.length !== helpers.length) {
             return undefined;
         }
         return {
-            ...rest,
-            endpoint: first,
-            helpers: others,
-            shares: shares.map(([id, tokens]) => ({ endpoint: usable.get(id)!, tokens })),
+            ...predictions,
+            endpoint: mainEndpoint,
+            helpers: helperEndpoints,
+            shares: shares.map(([id, tokens]) => ({ endpoint: candidateById.get(id)!, tokens })),
             recorded: false,
         };
     }
 
-    /** Takes no placement of this entry's request on an endpoint that it knows better. */
-    private refuse({ id }: PlacementRequest, { endpoint, helpers, postponed }: SerializedPlacement): void {
-        this.parts.log.info("An endpoint that was chosen for this entry may not get work.", {
+    /**
+     * Rejects a placer's choice that contradicts this entry's newer information, and undoes the placement in the load
+     * estimates.
+     */
+    private rejectPlacement({ id }: PlacementRequest, { endpoint, helpers, postponed }: SerializedPlacement): void {
+        this.dependencies.log.info("An endpoint that was chosen for this entry may not get work.", {
             requestId: id,
             endpoint,
             helpers,
         });
         if (!postponed) {
-            this.parts.loads.recordEnded([endpoint, ...helpers], id);
+            this.dependencies.loads.recordEnded([endpoint, ...helpers], id);
         }
     }
 }
--- a/src/core/placement/placementQuestion.ts
+++ b/src/core/placement/placementQuestion.ts
@@ -1,13 +1,16 @@
-/** What one entry asks another that chooses endpoints for it, and what it is told. */
+/** Messages between an entry that needs a placement and the placer that it asks. */
 import type { Milliseconds } from "../../utils/clock.js";
 import type { Placement, PlacementRequirements } from "./endpointSelector.js";
 
-/** A request to be placed, as it travels. */
-export interface PlacementQuestion
-    extends Omit<PlacementRequirements, "service" | "dataCentre" | "broken" | "refused" | "lacking"> {
-    /** Pairs the answer with the question; counts the asking entry's questions. */
+/** A request to be placed, as it is sent to a placer. */
+export interface PlacementQuestion extends
+    Omit<
+        PlacementRequirements,
+        "service" | "dataCentre" | "failedEndpoints" | "rejectedEndpoints" | "endpointsWithoutMemory"
+    > {
+    /** Matches the answer to its question; numbers the asking entry's questions. */
     serial: number;
-    /** Names the request over all entries. */
+    /** Identifies the request across all entries. */
     requestId: string;
     service: string;
     broken: string[];
@@ -15,15 +18,15 @@
     lacking: string[];
     /** Cold endpoints to which the asking entry may send now. */
     cold: string[];
-    /** Endpoints that have got the asking entry's share of what they take. */
+    /** Endpoints that have received the asking entry's share of their advertised limit. */
     spent: string[];
     /** Time until the request has ended at the latest. */
     endsIn: Milliseconds;
-    /** An endpoint that was silent for long: it isn't chosen, and nothing is noted. */
+    /** An endpoint that has been unresponsive for long: the placer does not choose it, and records no placement. */
     without: string | undefined;
 }
 
-/** A placement with its endpoints by name. */
+/** A placement with endpoint ids instead of endpoints. */
 export interface SerializedPlacement
     extends Omit<Placement, "endpoint" | "helpers" | "shares" | "recorded" | "chosenBy"> {
     endpoint: string;
@@ -31,11 +34,11 @@
     shares: [endpoint: string, tokens: number][];
 }
 
-/** The answer to a question. */
+/** A placer's answer to a question. */
 export type PlacementAnswer =
-    /** The entry doesn't choose for others, or doesn't know the service. */
+    /** The entry is no placer, or doesn't know the service. */
     | { type: "Declined"; serial: number; }
-    /** No endpoint may get the request, or none has the memory. */
+    /** No endpoint may receive the request, or none has the memory. */
     | { type: "NoEndpoint"; serial: number; }
-    /** `busyFor` is how long the endpoint that the question left out still reads what it has. */
+    /** `busyFor` is the time that the endpoint excluded by the question still needs for its prefills. */
     | { type: "Chosen"; serial: number; placement: SerializedPlacement; busyFor: Milliseconds; };
--- a/src/core/placement/placementServer.ts
+++ b/src/core/placement/placementServer.ts
@@ -1,46 +1,49 @@
-/** Chooses endpoints for the requests of other entries. */
+/** Answers placement questions of other entries on a placer. */
 import type { Clock } from "../../utils/clock.js";
 import type { RouteTable } from "../configuration/routeTable.js";
 import type { EndpointDirectory, KnownEndpoint } from "../membership/endpointDirectory.js";
 import type { EndpointSelector, Placement } from "./endpointSelector.js";
-import { readWait } from "./loadEstimator.js";
+import { prefillWait } from "./loadEstimator.js";
 import type { PlacementAnswer, PlacementQuestion, SerializedPlacement } from "./placementQuestion.js";
 import { endpointsOfPlacement, workOfPlacement } from "./placementWork.js";
 import type { SharedLoadEstimator } from "./sharedLoadEstimator.js";
 
-/** What choosing for others needs. */
-export interface PlacementServerParts {
+/** Dependencies of {@link PlacementServer}. */
+export interface PlacementServerDependencies {
     clock: Clock;
     routes: () => RouteTable | undefined;
     directory: EndpointDirectory;
-    placer: EndpointSelector;
+    selector: EndpointSelector;
     loads: SharedLoadEstimator;
     dataCentre: string;
-    /** Whether this entry hears what the others place. */
-    places: () => boolean;
+    /** Whether this entry is a placer and so receives the placements of the others. */
+    isPlacer: () => boolean;
 }
 
-/** Answers other entries' questions. */
+/** Chooses endpoints for the requests of other entries. */
 export class PlacementServer {
-    constructor(private readonly parts: PlacementServerParts) {}
+    constructor(private readonly dependencies: PlacementServerDependencies) {}
 
-    /** Chooses for a request of `owner`, and notes it at once: the next question comes before the request is sent. */
+    /**
+     * Chooses endpoints for a request of `owner` and records the placement at once, as the next question arrives before
+     * the request is sent.
+     */
     answer(owner: string, question: PlacementQuestion): PlacementAnswer {
-        const { clock, loads, placer, routes, dataCentre, places } = this.parts;
+        const { clock, loads, selector, routes, dataCentre, isPlacer } = this.dependencies;
         const { serial, without, requestId, promptTokens, targetGap, endsIn } = question;
         const service = routes()?.service(question.service);
-        if (!service || !places()) {
+        if (!service || !isPlacer()) {
             return { type: "Declined", serial };
         }
-        const need = {
+        const requirements = {
             ...question,
             service,
             dataCentre,
-            broken: new Set(question.broken),
-            refused: new Set(question.refused),
-            lacking: new Set(question.lacking),
+            failedEndpoints: new Set(question.broken),
+            rejectedEndpoints: new Set(question.refused),
+            endpointsWithoutMemory: new Set(question.lacking),
         };
-        const placement = placer.select(need, this.candidates(question));
+        const placement = selector.select(requirements, this.candidates(question));
         if (!placement) {
             return { type: "NoEndpoint", serial };
         }
@@ -48,25 +51,34 @@
             const endsBy = clock.now() + endsIn;
             loads.recordPlaced(workOfPlacement(placement, { id: requestId, owner, promptTokens, targetGap, endsBy }));
         }
-        return { type: "Chosen", serial, placement: travelling(placement), busyFor: this.busyFor(without) };
+        return {
+            type: "Chosen",
+            serial,
+            placement: serializePlacement(placement),
+            busyFor: this.remainingPrefillTime(without),
+        };
     }
 
-    /** The asking entry knows how many requests it may send to an endpoint that is cold or in need; all else both know. */
+    /**
+     * Applies the limits that only the asking entry knows: how many requests it may send to cold endpoints and to
+     * endpoints with an advertised limit. Both entries know everything else.
+     */
     private candidates({ service, without, cold, spent }: PlacementQuestion): KnownEndpoint[] {
-        const now = this.parts.clock.now();
-        const allowed = new Set(cold);
-        const barred = new Set(spent);
-        return this.parts.directory.usable(service).filter(({ record, coldUntil }) =>
-            record.id !== without && !barred.has(record.id) && (now >= coldUntil || allowed.has(record.id))
+        const now = this.dependencies.clock.now();
+        const allowedColdEndpoints = new Set(cold);
+        const endpointsAtLimit = new Set(spent);
+        return this.dependencies.directory.usable(service).filter(({ record, coldUntil }) =>
+            record.id !== without && !endpointsAtLimit.has(record.id)
+            && (now >= coldUntil || allowedColdEndpoints.has(record.id))
         );
     }
 
-    private busyFor(endpoint: string | undefined): number {
-        return endpoint === undefined ? 0 : readWait(this.parts.loads.load(endpoint));
+    private remainingPrefillTime(endpoint: string | undefined): number {
+        return endpoint === undefined ? 0 : prefillWait(this.dependencies.loads.loadOf(endpoint));
     }
 }
 
-const travelling = (placement: Placement): SerializedPlacement => {
+const serializePlacement = (placement: Placement): SerializedPlacement => {
     const { readTime, firstEvent, slotWait, readWait, whole, yields, postponed, shares } = placement;
     const [endpoint, ...helpers] = endpointsOfPlacement(placement);
     return {
--- a/src/core/placement/placementWork.ts
+++ b/src/core/placement/placementWork.ts
@@ -1,4 +1,4 @@
-/** What a placement puts on each of its endpoints. */
+/** Lists the work that a placement assigns to each of its endpoints. */
 import type { Milliseconds } from "../../utils/clock.js";
 import { type Placement, requestValue } from "./endpointSelector.js";
 import { type PlacedWork, WorkPart } from "./engineEstimate.js";
@@ -6,18 +6,18 @@
 /** The request that was placed. */
 export interface PlacedRequest {
     id: string;
-    /** The entry that sends it. */
+    /** The entry that sends the request. */
     owner: string;
     promptTokens: number;
     targetGap: Milliseconds | undefined;
     endsBy: Milliseconds;
 }
 
-/** The work at the endpoint that gets the order, and at those that read or hold parts for it. */
+/** Returns the work at the main endpoint, and at the helpers that prefill or hold parts for it. */
 export const workOfPlacement = (placement: Placement, request: PlacedRequest): PlacedWork[] => {
     const { id, owner, promptTokens, targetGap, endsBy } = request;
-    const held = new Map(placement.shares.map(({ endpoint, tokens }) => [endpoint.record.id, tokens]));
-    const work = {
+    const heldTokensByEndpoint = new Map(placement.shares.map(({ endpoint, tokens }) => [endpoint.record.id, tokens]));
+    const commonFields = {
         id,
         owner,
         readTokens: promptTokens / (1 + placement.helpers.length),
@@ -28,21 +28,21 @@
         firstEventIn: placement.helpers.length === 0 ? placement.firstEvent : undefined,
         endsBy,
     };
-    const main = {
-        ...work,
+    const mainWork = {
+        ...commonFields,
         endpoint: placement.endpoint.record.id,
-        contextTokens: held.get(placement.endpoint.record.id) ?? promptTokens,
+        contextTokens: heldTokensByEndpoint.get(placement.endpoint.record.id) ?? promptTokens,
         part: WorkPart.Main,
     };
-    const helping = placement.helpers.map(({ record }) => ({
-        ...work,
+    const helperWork = placement.helpers.map(({ record }) => ({
+        ...commonFields,
         endpoint: record.id,
-        contextTokens: held.get(record.id) ?? 0,
-        part: held.has(record.id) ? WorkPart.Hold : WorkPart.Read,
+        contextTokens: heldTokensByEndpoint.get(record.id) ?? 0,
+        part: heldTokensByEndpoint.has(record.id) ? WorkPart.Hold : WorkPart.Read,
     }));
-    return [main, ...helping];
+    return [mainWork, ...helperWork];
 };
 
-/** The endpoints of a placement, the one that gets the order first. */
+/** Returns the endpoint ids of a placement, the main endpoint first. */
 export const endpointsOfPlacement = (placement: Placement): string[] =>
     [placement.endpoint, ...placement.helpers].map(({ record }) => record.id);
--- a/src/core/placement/sharedLoadEstimator.ts
+++ b/src/core/placement/sharedLoadEstimator.ts
@@ -1,108 +1,108 @@
-/** The load view together with telling the other entries what this one places. */
+/** Combines the load estimates with publishing this entry's placements to the other entries. */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { SlidingWindow } from "../../utils/slidingWindow.js";
 import { Demand } from "./demand.js";
 import type { PlacedWork } from "./engineEstimate.js";
 import type { EndedWork, EndpointLoad, LoadEstimator, WorkInProgress } from "./loadEstimator.js";
 
-/** Over which the rate of placements is taken. */
-const rateWindow: Milliseconds = 1_000;
+/** Window over which the placement rate is measured. */
+const placementRateWindow: Milliseconds = 1_000;
 
-/** Something that happened to placed work. */
+/** A state change of placed work. */
 export type LoadUpdate =
     | { type: "Placed"; works: readonly PlacedWork[]; }
     | { type: "Writing"; endpoint: string; id: string; }
     | { type: "Ended"; endpoints: readonly string[]; id: string; };
 
-/** Notes this entry's work, and tells of it. */
+/** Records this entry's work and publishes it; applies the updates of other entries. */
 export class SharedLoadEstimator {
-    /** Gets all news of this entry's own work. */
-    publish: (news: LoadUpdate) => void = () => {};
+    /** Receives each update about this entry's own work. */
+    publish: (update: LoadUpdate) => void = () => {};
 
-    /** What engine time is worth. */
+    /** Recent demand, which sets the price of engine time. */
     readonly demand: Demand;
-    /** The service of an endpoint. */
+    /** Returns the service of an endpoint. */
     serviceOf: (endpoint: string) => string | undefined = () => undefined;
-    /** How long news of a placement is on its way; infinite where this entry isn't told. */
+    /** Propagation delay of placement updates; infinite where this entry doesn't receive them. */
     propagationDelay: () => Milliseconds = () => 0;
     private readonly placements: SlidingWindow;
 
-    constructor(private readonly view: LoadEstimator, clock: Clock) {
-        this.placements = new SlidingWindow(clock, rateWindow);
+    constructor(private readonly estimator: LoadEstimator, clock: Clock) {
+        this.placements = new SlidingWindow(clock, placementRateWindow);
         this.demand = new Demand(clock);
     }
 
-    /** Placements by other entries that are probably on their way and not known here. */
+    /** Estimated number of placements by other entries whose updates are in flight. */
     get placementsInTransit(): number {
         const delay = this.propagationDelay();
-        return delay === Infinity ? Infinity : this.placements.count() / rateWindow * delay;
+        return delay === Infinity ? Infinity : this.placements.count() / placementRateWindow * delay;
     }
 
-    /** Notes that work was placed, with the parts that helpers read; `known` where it needn't be told. */
-    recordPlaced(works: readonly PlacedWork[], known = false): void {
+    /** Records placed work, with the parts of the helpers; publishes it unless the peers know it already. */
+    recordPlaced(works: readonly PlacedWork[], isKnownToPeers = false): void {
         this.apply({ type: "Placed", works });
-        if (!known) {
+        if (!isKnownToPeers) {
             this.publish({ type: "Placed", works });
         }
     }
 
-    /** Notes that work writes its answer now. */
+    /** Records that work has started to decode. */
     recordWriting(endpoint: string, id: string): void {
         this.apply({ type: "Writing", endpoint, id });
         this.publish({ type: "Writing", endpoint, id });
     }
 
-    /** Notes that work has ended at all of `endpoints`. */
+    /** Records that work has ended at all of `endpoints`. */
     recordEnded(endpoints: readonly string[], id: string): void {
         this.apply({ type: "Ended", endpoints, id });
         this.publish({ type: "Ended", endpoints, id });
     }
 
-    /** Takes news, of this entry or another one. */
-    apply(news: LoadUpdate): void {
-        switch (news.type) {
+    /** Applies an update of this entry or another one. */
+    apply(update: LoadUpdate): void {
+        switch (update.type) {
             case "Placed":
                 this.placements.add();
-                this.noteDemand(news.works);
-                for (const work of news.works) {
-                    this.view.place(work);
+                this.recordDemand(update.works);
+                for (const work of update.works) {
+                    this.estimator.recordPlaced(work);
                 }
                 return;
             case "Writing":
-                this.view.writes(news.endpoint, news.id);
+                this.estimator.recordWriting(update.endpoint, update.id);
                 return;
             case "Ended":
-                for (const endpoint of news.endpoints) {
-                    this.view.end(endpoint, news.id);
+                for (const endpoint of update.endpoints) {
+                    this.estimator.recordEnded(endpoint, update.id);
                 }
                 return;
         }
     }
 
-    private noteDemand(works: readonly PlacedWork[]): void {
+    private recordDemand(works: readonly PlacedWork[]): void {
         const { endpoint, value } = works[0]!;
         const service = this.serviceOf(endpoint);
         if (service !== undefined) {
-            this.demand.note(service, works.reduce((sum, { readTime }) => sum + readTime, 0), value);
+            this.demand.recordRequest(service, works.reduce((sum, { readTime }) => sum + readTime, 0), value);
         }
     }
 
-    /** Drops what another entry placed before `before` and no longer has in progress, and returns it. */
+    /** Removes work that another entry placed before `before` and no longer has in progress; returns the removed work. */
     retainOnly(owner: string, inProgress: ReadonlySet<string>, before: Milliseconds): EndedWork[] {
-        return this.view.keepOnly(owner, inProgress, before);
+        return this.estimator.retainOnly(owner, inProgress, before);
     }
 
-    /** All work in progress, for an entry that has just started. */
+    /** Returns all work in progress, for an entry that has just started. */
     inProgress(): WorkInProgress[] {
-        return this.view.inProgress();
+        return this.estimator.inProgress();
     }
 
-    /** Takes what another entry knows to be in progress. */
+    /** Merges work in progress that another entry sent. */
     merge(works: readonly WorkInProgress[]): void {
-        this.view.learn(works);
+        this.estimator.merge(works);
     }
 
-    load(endpoint: string): EndpointLoad {
-        return this.view.load(endpoint);
+    loadOf(endpoint: string): EndpointLoad {
+        return this.estimator.loadOf(endpoint);
     }
 }
--- a/src/core/placement/team.ts
+++ b/src/core/placement/team.ts
@@ -1,159 +1,171 @@
 /**
- * Endpoints that share the reading of one long prompt, and its memory where no endpoint has enough alone.
+ * Chooses the team of endpoints that prefill one long prompt together, and that share its memory where no endpoint has
+ * enough alone.
  *
- * Load pattern: one prompt in thirty takes an endpoint three seconds to read, one in six hundred half a minute and the
- * memory of two or three endpoints, and in some ten seconds three times as many come. They can only be served by many
- * endpoints at once, also where few are idle: what is lost by those that read and write there, and by short prompts that
- * come meanwhile, is weighed against what this prompt is worth.
+ * Load pattern: one prompt in thirty takes an endpoint three seconds to prefill; one in six hundred takes half a minute
+ * and the memory of two or three endpoints; in some periods of ten seconds three times as many arrive. Only many
+ * endpoints together can serve such prompts in time, also while few are idle. The choice weighs the value of the prompt
+ * against the losses of the requests at these endpoints, and of the short prompts that arrive meanwhile.
  */
 import type { EngineProfile } from "../../types/routing.js";
 import type { Milliseconds } from "../../utils/clock.js";
 import type { KnownEndpoint } from "../membership/endpointDirectory.js";
-import { passTime, readTime } from "./engineCost.js";
-import { type EndpointLoad, readWait } from "./loadEstimator.js";
+import { passDuration, prefillDuration } from "./engineCost.js";
+import { type EndpointLoad, prefillWait } from "./loadEstimator.js";
 
-/** Endpoints that read one prompt: the one that gets the order, and as many helpers as engines take. */
-export const readersAtMost = 16;
-/** Part of its target for which each endpoint reads at least. Shorter parts gain little, and keep more endpoints from others. */
-export const readPart = 0.5;
-/** Memory is kept in blocks, and the last of each share is not full. */
-const blockTokens = 16;
-/** Part of an endpoint's free memory that is asked for; other entries' newest work may not be known yet. */
-const usedPart = 0.97;
+/** Size of the largest team: the main endpoint, and as many helpers as engines accept. */
+export const maximumTeamSize = 16;
+/**
+ * Smallest prefill time of a team member, relative to the target latency. Shorter parts gain little and take more
+ * endpoints from other requests.
+ */
+export const minimumPartRatio = 0.5;
+/** Engines allocate memory in blocks, and the last block of each share is not full. */
+const memoryBlockTokens = 16;
+/** Share of an endpoint's free memory that a team requests; the newest work of other entries may not be known yet. */
+const usableMemoryRatio = 0.97;
 
-/** Memory of one member, in tokens. */
+/** Memory to reserve at one team member, in tokens. */
 export interface TeamShare {
     endpoint: KnownEndpoint;
     tokens: number;
 }
 
-/** Who reads a prompt, and who holds it. */
+/** The endpoints that prefill a prompt, and those that hold its memory. */
 export interface Team {
-    /** The first gets the order. */
-    readers: readonly KnownEndpoint[];
-    /** Memory to set aside; the first is the one that gets the order, all are readers. None where one has enough. */
+    /** The first member is the main endpoint. */
+    members: readonly KnownEndpoint[];
+    /** Memory to reserve at members of the team, the main endpoint first. Empty where one endpoint has enough. */
     shares: readonly TeamShare[];
-    /** Predicted time of reading at each of them. */
-    part: Milliseconds;
+    /** Predicted prefill time at each member. */
+    partDuration: Milliseconds;
     /** Predicted time to the first event. */
     firstEvent: Milliseconds;
 }
 
-interface Member {
+interface TeamCandidate {
     endpoint: KnownEndpoint;
     load: EndpointLoad;
     freeTokens: number;
 }
 
-/** What decides between teams. */
-export interface TeamNeed {
+/** The prompt, the candidates, and the loss functions that rank teams. */
+export interface TeamRequirements {
     engine: EngineProfile;
     promptTokens: number;
     answerTokens: number;
     targetLatency: Milliseconds;
     candidates: readonly KnownEndpoint[];
     loadOf: (endpoint: KnownEndpoint) => EndpointLoad;
-    /** What is lost when the first event comes after `firstEvent`. */
-    lossOf: (firstEvent: Milliseconds) => number;
-    /** What is lost at an endpoint with this load by reading a part of so much time and tokens there. */
-    partLossOf: (load: EndpointLoad, part: Milliseconds, tokens: number) => number;
+    /** Value that is lost when the first event comes after `firstEvent`. */
+    firstEventLoss: (firstEvent: Milliseconds) => number;
+    /** Value that is lost at an endpoint with this load by prefilling a part of this duration and token count. */
+    partLoss: (load: EndpointLoad, part: Milliseconds, tokens: number) => number;
 }
 
-/** The team that loses least; undefined when no team has the memory. */
-export const chooseTeam = (need: TeamNeed): Team | undefined => {
-    const partAtLeast = readPart * need.targetLatency;
-    const ranked = rankedMembers(need, partAtLeast);
-    const tokens = need.promptTokens + need.answerTokens;
-    const alone = readTime(need.engine, need.promptTokens);
-    const overMemory = tokens > need.engine.memoryTokens;
-    const members = overMemory ? ranked : withoutReaders(ranked);
+/** Returns the team with the lowest loss; undefined when no team has the memory. */
+export const chooseTeam = (requirements: TeamRequirements): Team | undefined => {
+    const minimumPartDuration = minimumPartRatio * requirements.targetLatency;
+    const rankedCandidates = rankCandidates(requirements, minimumPartDuration);
+    const tokens = requirements.promptTokens + requirements.answerTokens;
+    const prefillTime = prefillDuration(requirements.engine, requirements.promptTokens);
+    const exceedsMemory = tokens > requirements.engine.memoryTokens;
+    const eligibleCandidates = exceedsMemory ? rankedCandidates : withoutPrefills(rankedCandidates);
     let best: Team | undefined;
     let bestLoss = Infinity;
-    const readersForMemory = overMemory ? members.length : 1;
-    const readersUseful = Math.min(
-        members.length,
-        readersAtMost,
-        Math.max(Math.ceil(alone / partAtLeast), readersForMemory),
+    const memberCountForMemory = exceedsMemory ? eligibleCandidates.length : 1;
+    const largestUsefulCount = Math.min(
+        eligibleCandidates.length,
+        maximumTeamSize,
+        Math.max(Math.ceil(prefillTime / minimumPartDuration), memberCountForMemory),
     );
-    for (let count = 1; count <= readersUseful; count++) {
-        const readers = members.slice(0, count);
-        const shares = overMemory ? sharesOf(readers, tokens) : [];
+    for (let count = 1; count <= largestUsefulCount; count++) {
+        const members = eligibleCandidates.slice(0, count);
+        const shares = exceedsMemory ? divideMemory(members, tokens) : [];
         if (!shares) {
             continue;
         }
-        const part = alone / count;
-        const firstEvent = firstEventOf(need, readers, part);
-        let loss = need.lossOf(firstEvent);
-        for (const { load } of readers) {
-            loss += need.partLossOf(load, part, need.promptTokens / count);
+        const partDuration = prefillTime / count;
+        const firstEvent = predictTeamFirstEvent(requirements, members, partDuration);
+        let loss = requirements.firstEventLoss(firstEvent);
+        for (const { load } of members) {
+            loss += requirements.partLoss(load, partDuration, requirements.promptTokens / count);
         }
         if (loss < bestLoss) {
             bestLoss = loss;
-            best = { readers: readers.map(({ endpoint }) => endpoint), shares, part, firstEvent };
+            best = { members: members.map(({ endpoint }) => endpoint), shares, partDuration, firstEvent };
         }
     }
     return best;
 };
 
-/** Idle endpoints first, then those whose writers and readers lose least. */
-const rankedMembers = (need: TeamNeed, part: Milliseconds): Member[] => {
-    const { engine, promptTokens, candidates, loadOf, partLossOf } = need;
+/** Ranks idle endpoints first, then those whose requests lose least. */
+const rankCandidates = (requirements: TeamRequirements, partDuration: Milliseconds): TeamCandidate[] => {
+    const { engine, promptTokens, candidates, loadOf, partLoss } = requirements;
     return candidates
         .map(endpoint => {
             const load = loadOf(endpoint);
-            const freeTokens = Math.floor(Math.max(0, engine.memoryTokens - load.memoryTokens) * usedPart);
-            const rank = partLossOf(load, part, promptTokens * part / readTime(engine, promptTokens))
-                + readWait(load) / 1_000;
-            return { member: { endpoint, load, freeTokens }, rank };
+            const freeTokens = Math.floor(Math.max(0, engine.memoryTokens - load.memoryTokens) * usableMemoryRatio);
+            const rank =
+                partLoss(load, partDuration, promptTokens * partDuration / prefillDuration(engine, promptTokens))
+                + prefillWait(load) / 1_000;
+            return { candidate: { endpoint, load, freeTokens }, rank };
         })
-        .filter(({ member }) => member.load.requests < engine.slots)
-        .sort((left, right) => left.rank - right.rank || right.member.freeTokens - left.member.freeTokens)
-        .map(({ member }) => member);
+        .filter(({ candidate }) => candidate.load.requestCount < engine.slots)
+        .sort((left, right) => left.rank - right.rank || right.candidate.freeTokens - left.candidate.freeTokens)
+        .map(({ candidate }) => candidate);
 };
 
 /**
- * Endpoints that read nothing; the one that has read most of what it has where there is none. Parts for others go before
- * the endpoint's own reads: under a load of long prompts each newcomer would overtake those that came before, and all of
- * them would be given up.
+ * Returns the endpoints without a prefill, or the one that finishes its prefills first where there is none. Engines
+ * prefill parts for other endpoints before their own prompts: under a load of long prompts each new prompt would overtake
+ * the earlier ones, and callers would give up on all of them.
  */
-const withoutReaders = (members: readonly Member[]): readonly Member[] => {
-    const free = members.filter(({ load }) => load.readers === 0);
-    if (free.length > 0) {
-        return free;
+const withoutPrefills = (candidates: readonly TeamCandidate[]): readonly TeamCandidate[] => {
+    const withoutPrefill = candidates.filter(({ load }) => load.prefillCount === 0);
+    if (withoutPrefill.length > 0) {
+        return withoutPrefill;
     }
-    const soonest = [...members].sort((left, right) => readWait(left.load) - readWait(right.load));
-    return soonest.slice(0, 1);
+    const byPrefillWait = [...candidates].sort((left, right) => prefillWait(left.load) - prefillWait(right.load));
+    return byPrefillWait.slice(0, 1);
 };
 
-/** Memory in as few members as hold it, the first one included; undefined when all together don't. */
-const sharesOf = (members: readonly Member[], tokens: number): TeamShare[] | undefined => {
-    const [first, ...others] = members;
-    const roomy = others.sort((left, right) => right.freeTokens - left.freeTokens);
+/**
+ * Divides the memory among as few members as possible, the main endpoint included; undefined when all together lack
+ * memory.
+ */
+const divideMemory = (members: readonly TeamCandidate[], tokens: number): TeamShare[] | undefined => {
+    const [mainMember, ...helpers] = members;
+    const helpersByFreeMemory = helpers.sort((left, right) => right.freeTokens - left.freeTokens);
     const shares: TeamShare[] = [];
-    let left = tokens;
-    for (const { endpoint, freeTokens } of [first!, ...roomy]) {
-        const room = freeTokens - blockTokens;
-        if (room > 0) {
-            const held = Math.min(left, room);
-            shares.push({ endpoint, tokens: held + blockTokens });
-            left -= held;
+    let remainingTokens = tokens;
+    for (const { endpoint, freeTokens } of [mainMember!, ...helpersByFreeMemory]) {
+        const availableTokens = freeTokens - memoryBlockTokens;
+        if (availableTokens > 0) {
+            const heldTokens = Math.min(remainingTokens, availableTokens);
+            shares.push({ endpoint, tokens: heldTokens + memoryBlockTokens });
+            remainingTokens -= heldTokens;
         }
         else if (shares.length === 0) {
             return undefined;
         }
-        if (left <= 0) {
+        if (remainingTokens <= 0) {
             return shares;
         }
     }
     return undefined;
 };
 
-/** The slowest member decides: its backlog, its part, and the pass that it is in. */
-const firstEventOf = ({ engine }: TeamNeed, readers: readonly Member[], part: Milliseconds): Milliseconds => {
+/** Predicts the first event of a team; the slowest member determines it by its backlog, its part, and its running pass. */
+const predictTeamFirstEvent = (
+    { engine }: TeamRequirements,
+    members: readonly TeamCandidate[],
+    partDuration: Milliseconds,
+): Milliseconds => {
     let latest = 0;
-    for (const { load } of readers) {
-        const pass = load.writers > 0 ? passTime(engine, load.writers, load.contextTokens) : 0;
-        latest = Math.max(latest, readWait(load) + part + pass);
+    for (const { load } of members) {
+        const pass = load.decodeCount > 0 ? passDuration(engine, load.decodeCount, load.contextTokens) : 0;
+        latest = Math.max(latest, prefillWait(load) + partDuration + pass);
     }
     return latest + engine.stepTime;
 };
