--- a/__tests__/forwarding/budgets.test.ts
+++ b/__tests__/forwarding/budgets.test.ts
@@ -1,4 +1,4 @@
-/** Budgets hold over all entries together. */
+/** Tests that budgets hold over all entries together. */
 import { expect, test } from "vitest";
 import { ColdBudget } from "../../src/core/budgets/coldBudget.js";
 import { SharedRetryBudget } from "../../src/core/budgets/sharedRetryBudget.js";
@@ -16,22 +16,22 @@
 };
 
 test("repeats of all entries stay within the allowance", () => {
-    // All endpoints fail at once and every request asks to be sent again. Without a budget the sends double.
+    // All endpoints fail at once and every request asks for a retry. Without a budget the attempts double.
     const clock = fakeClock();
     const budgets = Array.from(
         { length: 6 },
         () => new SharedRetryBudget(clock, () => ({ share: 0.2, window: 10_000, extra: 100 }), () => 6),
     );
-    let repeats = 0;
+    let retries = 0;
     let requests = 0;
     for (clock.time = 0; clock.time < 10_000; clock.time += 10) {
         const budget = budgets[(clock.time / 10) % 6]!;
         budget.recordRequest("models");
         requests++;
-        repeats += budget.tryTake("models") ? 1 : 0;
+        retries += budget.tryTake("models") ? 1 : 0;
     }
-    expect(repeats).toBeGreaterThan(0.7 * (0.2 * requests + 100));
-    expect(repeats).toBeLessThanOrEqual(0.2 * requests + 100);
+    expect(retries).toBeGreaterThan(0.7 * (0.2 * requests + 100));
+    expect(retries).toBeLessThanOrEqual(0.2 * requests + 100);
 });
 
 test("budget comes back with time", () => {
@@ -46,12 +46,12 @@
     expect(budget.tryTake("s")).toBe(true);
 });
 
-/** Requests that `count` entries send a cold endpoint in a second, each as many as its budget allows. */
+/** Requests that `count` entries send to a cold endpoint in one second when each uses its whole budget. */
 const sentToCold = (count: number): number => {
     const clock = fakeClock();
     const limits = () => ({ factor: 1.5, extra: 5 });
-    const budgets = [...Array(count).keys()].map(place =>
-        new ColdBudget(clock, limits, { size: count, rank: () => place })
+    const budgets = [...Array(count).keys()].map(rank =>
+        new ColdBudget(clock, limits, { size: count, rank: () => rank })
     );
     let sent = 0;
     for (clock.time = 0; clock.time < 1_000; clock.time++) {
@@ -67,8 +67,8 @@
 
 for (const count of [1, 6, 9, 44, 85, 330]) {
     test(`cold endpoint gets its rate from all of ${count} entries together`, () => {
-        // Under more than it bears a cold endpoint crashes. With an equal part for each of 85 entries, each part is less than
-        // one request: nobody sends, and after a whole data centre came back cold it would stay unused.
+        // A cold endpoint crashes under more requests than it tolerates. With equal shares for 85 entries, each share is
+        // below one request: no entry sends, and a data centre that restarts cold would stay unused.
         const sent = sentToCold(count);
         expect(sent).toBeGreaterThan(20);
         expect(sent).toBeLessThanOrEqual(26 * 1.5 + 5);
--- a/__tests__/forwarding/engineEstimate.test.ts
+++ b/__tests__/forwarding/engineEstimate.test.ts
@@ -1,4 +1,4 @@
-/** What an endpoint is believed to do, by the passes of its engine. */
+/** Tests the estimate of an endpoint's engine passes against the simulated engine. */
 import { expect, test } from "vitest";
 import { WorkPart } from "../../src/core/placement/engineEstimate.js";
 import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
@@ -20,19 +20,21 @@
     usual: undefined,
 };
 
-/** A belief beside the engine that it is about. */
+/** An estimate and the simulated engine that it describes. */
 class Fixture {
     readonly clock = new SimulatedClock();
-    readonly view = new LoadEstimator(this.clock, () => engine);
-    readonly real = new PassEngine(engine, this.clock);
+    readonly estimator = new LoadEstimator(this.clock, () => engine);
+    readonly simulatedEngine = new PassEngine(engine, this.clock);
     readonly firstEvents = new Map<string, number>();
 
-    /** Sends a request to the engine, and notes it as an entry does. */
+    /** Sends a request to the engine, and records it in the estimate as an entry does. */
     send(id: string, promptTokens: number, events = 100): void {
         const work: EngineWork = { id, promptTokens, events, from: 0, priority: 1, helpers: [] };
-        void this.real.run(work, event => this.note(id, event), new AbortController().signal).catch(() => {});
+        void this.simulatedEngine.run(work, event => this.recordEvent(id, event), new AbortController().signal).catch(
+            () => {},
+        );
         const pairs = promptTokens * promptTokens / 2 / 1_000_000;
-        this.view.recordPlaced({
+        this.estimator.recordPlaced({
             id,
             owner: "entry-1",
             endpoint: "e",
@@ -48,56 +50,57 @@
         });
     }
 
-    /** Time until a prompt that came now would begin to be read. */
-    get wait(): number {
-        const { remainingPassTime, prefillBacklog } = this.view.loadOf("e");
+    /** Time until the prefill of a prompt that arrives now would start. */
+    get prefillWait(): number {
+        const { remainingPassTime, prefillBacklog } = this.estimator.loadOf("e");
         return remainingPassTime + prefillBacklog;
     }
 
-    private note(id: string, event: number): void {
+    private recordEvent(id: string, event: number): void {
         if (event === 1) {
             this.firstEvents.set(id, this.clock.now());
-            this.view.recordWriting("e", id);
+            this.estimator.recordWriting("e", id);
         }
     }
 }
 
 test("request waits for the end of the pass that runs", async () => {
-    // A long prompt is read beside a short answer: one pass of more than a second. A short prompt that comes meanwhile begins
-    // with the next pass. Counted as reads in turn the endpoint seems free as soon as the read alone would be done, and every
-    // entry sends there what comes until the pass has ended.
+    // A long prompt is prefilled beside a short response, in one pass of more than a second. A short prompt that arrives
+    // meanwhile starts with the next pass. An estimate without passes shows the endpoint as free as soon as the prefill
+    // alone would be done, and every entry sends its requests there until the pass ends.
     const fixture = new Fixture();
     fixture.send("short", 2_000);
     await fixture.clock.run(500);
     fixture.send("long", 80_000);
     await fixture.clock.run(600);
-    const expected = 600 + fixture.wait;
+    const expected = 600 + fixture.prefillWait;
     fixture.send("next", 2_000);
     await fixture.clock.run(3_000);
-    const begun = fixture.firstEvents.get("long")!;
-    expect(Math.abs(expected - begun)).toBeLessThan(2);
-    expect(fixture.firstEvents.get("next")! - begun).toBeGreaterThan(40);
+    const firstEventAt = fixture.firstEvents.get("long")!;
+    expect(Math.abs(expected - firstEventAt)).toBeLessThan(2);
+    expect(fixture.firstEvents.get("next")! - firstEventAt).toBeGreaterThan(40);
 });
 
-test("endpoint whose oldest request is overdue says so", async () => {
-    // An endpoint has taken a request and stalls. Nothing tells so but that the first event doesn't come; meanwhile it looks
-    // as idle as ever, and would get everything.
+test("load shows how long the oldest request is overdue", async () => {
+    // An endpoint has accepted a request and stalls. The only evidence is the missing first event; otherwise the endpoint
+    // looks idle and would get all requests.
     const fixture = new Fixture();
-    fixture.real.slowness = 20;
+    fixture.simulatedEngine.slowness = 20;
     fixture.send("stalled", 2_000);
     await fixture.clock.run(150);
-    expect(fixture.view.loadOf("e").overdueTime).toBe(50);
+    expect(fixture.estimator.loadOf("e").overdueTime).toBe(50);
 });
 
 test("endpoint that answers others isn't overdue", async () => {
-    // News of a first event was lost. Its request would seem to wait for seconds, and a sound endpoint would be avoided.
+    // The update about a first event was lost. Its request would seem to wait for seconds, and a healthy endpoint would be
+    // avoided.
     const fixture = new Fixture();
     fixture.send("lost", 2_000);
     await fixture.clock.run(400);
     fixture.firstEvents.clear();
-    const view = new LoadEstimator(fixture.clock, () => engine);
+    const estimator = new LoadEstimator(fixture.clock, () => engine);
     const work = {
-        id: "unheard",
+        id: "unreported",
         owner: "entry-2",
         endpoint: "e",
         contextTokens: 100,
@@ -110,10 +113,10 @@
         firstEventIn: 100,
         endsBy: 60_000,
     };
-    view.recordPlaced(work);
-    view.recordPlaced({ ...work, id: "heard" });
+    estimator.recordPlaced(work);
+    estimator.recordPlaced({ ...work, id: "reported" });
     await fixture.clock.run(800);
-    view.recordWriting("e", "heard");
+    estimator.recordWriting("e", "reported");
     await fixture.clock.run(850);
-    expect(view.loadOf("e").overdueTime).toBe(50);
+    expect(estimator.loadOf("e").overdueTime).toBe(50);
 });
--- a/__tests__/forwarding/limits.test.ts
+++ b/__tests__/forwarding/limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits that endpoints name in their answers. */
+/** Tests the rate limits that endpoints advertise in their responses. */
 import path from "node:path";
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { header } from "../../platform/names.js";
@@ -26,8 +26,8 @@
     const { callers } = await site.start("entry-1");
     let limit: string | undefined = "1.5";
     replica.fault = (arrival, response, own) => {
-        const named: Record<string, string> = limit === undefined ? {} : { [header.limit]: limit };
-        response.writeHead(200, { ...own.answerHeaders(arrival.id), ...named, "content-length": "0" }).end();
+        const limitHeader: Record<string, string> = limit === undefined ? {} : { [header.limit]: limit };
+        response.writeHead(200, { ...own.answerHeaders(arrival.id), ...limitHeader, "content-length": "0" }).end();
         return true;
     };
     const answer = await call(callers, "/lookups/a");
@@ -51,17 +51,20 @@
         return true;
     };
     await call(callers, "/lookups/a");
-    const told = () => site.lines.find(({ entry, message }) => entry === "entry-2" && /names a limit/.test(message));
-    await until(() => told() !== undefined);
-    expect(told()?.fields).toMatchObject({ endpoint: "d-1", perSecond: 1.5 });
+    const receivedLimitLine = () =>
+        site.lines.find(({ entry, message }) => entry === "entry-2" && /names a limit/.test(message));
+    await until(() => receivedLimitLine() !== undefined);
+    expect(receivedLimitLine()?.fields).toMatchObject({ endpoint: "d-1", perSecond: 1.5 });
 });
 
-/** From so long after its first word an endpoint gets no more than the excess over what it names, in each span. */
-const settledAfter: Milliseconds = 3_000;
-const span: Milliseconds = 4_000;
-const excess = (perSecond: number): number => 1.5 * perSecond * span / 1_000 + 5;
-/** By then all entries know the limit, or were told it by the endpoint. */
-const knownAfter: Milliseconds = 1_000;
+/**
+ * From this delay after its first limit on, an endpoint gets at most the limit with the tolerated excess in each window.
+ */
+const settlingDuration: Milliseconds = 3_000;
+const countingWindow: Milliseconds = 4_000;
+const toleratedRequests = (perSecond: number): number => 1.5 * perSecond * countingWindow / 1_000 + 5;
+/** After this delay all entries have received the limit, from the endpoint or from another entry. */
+const propagationDuration: Milliseconds = 1_000;
 
 const replayWithLimits = async (name: string, entries: number, seed: number) => {
     const pattern = readPattern(path.resolve(import.meta.dirname, `../../examples/patterns/${name}.ini`));
@@ -77,34 +80,34 @@
     return { result, limited, begin, end, perSecond: strength };
 };
 
-/** The most requests that `endpoint` got in a span that ends between `begin` and `end`. */
-const mostInSpan = (
+/** The highest number of requests that `endpoint` got in a window that ends between `begin` and `end`. */
+const highestWindowCount = (
     arrivals: readonly EndpointArrival[],
     endpoint: unknown,
     begin: Milliseconds,
     end: Milliseconds,
 ) => {
-    const times = arrivals.filter(arrival => arrival.endpoint === endpoint && arrival.at >= begin + knownAfter)
+    const times = arrivals.filter(arrival => arrival.endpoint === endpoint && arrival.at >= begin + propagationDuration)
         .map(({ at }) => at);
-    let most = 0;
+    let highest = 0;
     for (const last of times) {
-        if (last >= begin + settledAfter && last <= end) {
-            most = Math.max(most, times.filter(at => at <= last && at > last - span).length);
+        if (last >= begin + settlingDuration && last <= end) {
+            highest = Math.max(highest, times.filter(at => at <= last && at > last - countingWindow).length);
         }
     }
-    return most;
+    return highest;
 };
 
 for (const name of ["endpoints-limited", "all-limited"]) {
     for (const entries of [7, 30]) {
         test(`endpoint in need gets no more than it names, ${name}, ${entries} entries`, async () => {
-            // Guards against an endpoint in need that goes on being chosen like the others, whatever it says.
+            // Guards against an overloaded endpoint that is chosen like the others despite its limit.
             for (const seed of [1, 2]) {
                 const { result, limited, begin, end, perSecond } = await replayWithLimits(name, entries, seed);
                 expect(limited.size).toBeGreaterThan(0);
                 for (const endpoint of limited) {
-                    const most = mostInSpan(result.arrivals, endpoint, begin, end);
-                    expect(most).toBeLessThanOrEqual(excess(perSecond));
+                    const highest = highestWindowCount(result.arrivals, endpoint, begin, end);
+                    expect(highest).toBeLessThanOrEqual(toleratedRequests(perSecond));
                 }
             }
         });
@@ -113,13 +116,13 @@
 
 test("callers are served where every endpoint names a limit", async () => {
     const { result, begin, end } = await replayWithLimits("all-limited", 7, 1);
-    const records = result.records.filter(({ arrival: { at } }) => at > begin + knownAfter && at < end);
+    const records = result.records.filter(({ arrival: { at } }) => at > begin + propagationDuration && at < end);
     const served = records.filter(({ outcome }) => outcome === CallerOutcome.InTime || outcome === CallerOutcome.Late);
     expect(served.length / records.length).toBeGreaterThan(0.9);
 });
 
-/** When each entry logged `message` of an endpoint, for each endpoint of which one did before `until`. */
-const loggedBy = ({ lines }: ReplayResult, message: string, until: Milliseconds): Milliseconds[][] => {
+/** Times at which each entry logged `message`, for each endpoint that one entry logged before `until`. */
+const logTimesByEndpoint = ({ lines }: ReplayResult, message: string, until: Milliseconds): Milliseconds[][] => {
     const times = new Map<unknown, Milliseconds[]>();
     for (const line of lines.filter(found => found.message === `directory: ${message}`)) {
         const { endpoint } = line.fields;
@@ -130,15 +133,20 @@
 
 for (const entries of [7, 30]) {
     test(`all of ${entries} entries hear of a limit and of its end`, async () => {
-        // With few requests for each entry most would send to an endpoint in need for seconds, and others keep off it for ever.
+        // With few requests per entry, most entries would send to an overloaded endpoint for seconds, and others would
+        // avoid it for ever.
         const { result, begin, end } = await replayWithLimits("endpoints-limited", entries, 1);
-        const named = loggedBy(result, "An endpoint names a limit.", begin + settledAfter);
-        const lifted = loggedBy(result, "An endpoint names no limit any more.", end + settledAfter);
-        expect(named.length).toBeGreaterThan(0);
-        expect(lifted.length).toBeGreaterThan(0);
-        for (const times of [...named, ...lifted]) {
+        const limitLogTimes = logTimesByEndpoint(result, "An endpoint names a limit.", begin + settlingDuration);
+        const noLimitLogTimes = logTimesByEndpoint(
+            result,
+            "An endpoint names no limit any more.",
+            end + settlingDuration,
+        );
+        expect(limitLogTimes.length).toBeGreaterThan(0);
+        expect(noLimitLogTimes.length).toBeGreaterThan(0);
+        for (const times of [...limitLogTimes, ...noLimitLogTimes]) {
             expect(times).toHaveLength(entries);
-            expect(Math.max(...times) - Math.min(...times)).toBeLessThanOrEqual(settledAfter);
+            expect(Math.max(...times) - Math.min(...times)).toBeLessThanOrEqual(settlingDuration);
         }
     });
 }
@@ -147,7 +155,7 @@
     new EndpointLimits(clock, silentLog, { known, rank: () => rank });
 
 /** Requests that one entry may send at once. */
-const shareOf = (limits: EndpointLimits, allowance: Allowance): number => {
+const countAllowedSends = (limits: EndpointLimits, allowance: Allowance): number => {
     let sent = 0;
     while (limits.allows("m-1", allowance)) {
         limits.recordSent("m-1");
@@ -158,19 +166,20 @@
 
 for (const known of [1, 6, 62, 195]) {
     test(`shares of ${known} entries sum up to what an endpoint takes`, () => {
-        // With a fraction of a request for each entry nobody would send anything to it; with one for each, all too much.
+        // With a fraction of a request per entry no entry would send anything; with one request per entry, all together
+        // would send too much.
         for (const perSecond of [0, 0.3, 1.1, 1.6, 12]) {
             const sums = { [Allowance.Named]: 0, [Allowance.Excess]: 0 };
             for (const allowance of [Allowance.Named, Allowance.Excess]) {
                 for (const rank of Array(known).keys()) {
                     const limits = limitsOf(known, rank);
                     limits.recordLimit("m-1", perSecond);
-                    sums[allowance] += shareOf(limits, allowance);
+                    sums[allowance] += countAllowedSends(limits, allowance);
                 }
             }
-            expect(sums[Allowance.Named]).toBe(Math.floor(perSecond * span / 1_000));
+            expect(sums[Allowance.Named]).toBe(Math.floor(perSecond * countingWindow / 1_000));
             expect(sums[Allowance.Excess]).toBeGreaterThanOrEqual(sums[Allowance.Named]);
-            expect(sums[Allowance.Excess]).toBeLessThanOrEqual(excess(perSecond));
+            expect(sums[Allowance.Excess]).toBeLessThanOrEqual(toleratedRequests(perSecond));
         }
     });
 }
@@ -187,7 +196,7 @@
     expect(limits.limitOf("m-1")).toBeUndefined();
 });
 
-test("older word of another entry changes nothing", async () => {
+test("older limit from another entry changes nothing", async () => {
     const clock = new SimulatedClock();
     const limits = limitsOf(6, 0, clock);
     await clock.run(1_000);
--- a/__tests__/forwarding/placementClient.test.ts
+++ b/__tests__/forwarding/placementClient.test.ts
@@ -1,4 +1,4 @@
-/** What an entry makes of another one's choice of endpoints, and of its silence. */
+/** Tests how an entry handles a placer's choice of endpoints, and a placer that doesn't answer. */
 import { expect, test } from "vitest";
 import { ColdBudget } from "../../src/core/budgets/coldBudget.js";
 import { EndpointLimits } from "../../src/core/budgets/endpointLimits.js";
@@ -23,7 +23,7 @@
     engine: undefined,
 };
 
-const chosen = (endpoint: string): SerializedPlacement => ({
+const placementAt = (endpoint: string): SerializedPlacement => ({
     endpoint,
     helpers: [],
     shares: [],
@@ -40,15 +40,15 @@
     readonly clock = new SimulatedClock();
     readonly directory = new EndpointDirectory(this.clock, silentLog);
     readonly loads = new SharedLoadEstimator(new LoadEstimator(this.clock, () => undefined), this.clock);
-    readonly asked: PlacementQuestion[] = [];
-    readonly silent: string[] = [];
-    readonly told: LoadUpdate[] = [];
-    readonly placing: PlacementClient;
+    readonly questions: PlacementQuestion[] = [];
+    readonly unresponsivePlacers: string[] = [];
+    readonly published: LoadUpdate[] = [];
+    readonly client: PlacementClient;
     private revision = 0;
 
     constructor() {
         const { clock, directory, loads } = this;
-        loads.publish = news => this.told.push(news);
+        loads.publish = update => this.published.push(update);
         const placers = ["p1", "p2", "p3"].map(id => ({
             id,
             address: `${id}:1`,
@@ -56,7 +56,7 @@
             processors: 1,
             places: true,
         }));
-        this.placing = new PlacementClient({
+        this.client = new PlacementClient({
             clock,
             log: silentLog,
             metrics: new Metrics(),
@@ -69,8 +69,8 @@
             peers: {
                 placersToAsk: () => placers,
                 placersRest: () => false,
-                notePlacerSilent: id => this.silent.push(id),
-                askPlacement: (...[, question]) => this.asked.push(question),
+                notePlacerSilent: id => this.unresponsivePlacers.push(id),
+                askPlacement: (...[, question]) => this.questions.push(question),
             },
         });
         this.list({ a: EndpointState.Ready, b: EndpointState.Ready });
@@ -114,68 +114,69 @@
         };
     }
 
-    answer(endpoint: string, serial = this.asked.at(-1)!.serial): void {
-        this.placing.receiveAnswer({ type: "Chosen", serial, placement: chosen(endpoint), busyFor: 0 });
+    answer(endpoint: string, serial = this.questions.at(-1)!.serial): void {
+        this.client.receiveAnswer({ type: "Chosen", serial, placement: placementAt(endpoint), busyFor: 0 });
     }
 }
 
-test("choice of a placer is taken and not told again", async () => {
-    // Guards against work that counts twice, as the placer has told it already.
+test("choice of a placer is used and not published again", async () => {
+    // Guards against work that is counted twice because the placer has published it already.
     const fixture = new Fixture();
-    const choice = fixture.placing.choose(fixture.request());
+    const choice = fixture.client.choose(fixture.request());
     fixture.answer("b");
     expect((await choice)!.endpoint.record.id).toBe("b");
     expect(fixture.loads.loadOf("b").requestCount).toBe(1);
-    expect(fixture.told).toEqual([]);
+    expect(fixture.published).toEqual([]);
 });
 
-test("endpoint that leaves is not used, whoever chooses it", async () => {
-    // Guards against a request that reaches an endpoint after this entry knows that it leaves.
+test("draining endpoint is not used, whoever chooses it", async () => {
+    // Guards against a request to an endpoint after this entry has learned that it drains.
     const fixture = new Fixture();
-    const choice = fixture.placing.choose(fixture.request());
+    const choice = fixture.client.choose(fixture.request());
     fixture.list({ a: EndpointState.Ready, b: EndpointState.Draining });
     fixture.answer("b");
     expect((await choice)!.endpoint.record.id).toBe("a");
-    expect(fixture.told[0]).toEqual({ type: "Ended", endpoints: ["b"], id: "r" });
+    expect(fixture.published[0]).toEqual({ type: "Ended", endpoints: ["b"], id: "r" });
 });
 
 test("cold endpoint beyond this entry's part is not used, whoever chooses it", async () => {
-    // Guards against a cold endpoint that gets more than it bears, as a placer can't count what all send.
+    // Guards against a cold endpoint that gets more than it tolerates, as a placer can't count the requests of all entries.
     const fixture = new Fixture();
     fixture.list({ a: EndpointState.Ready });
     fixture.list({ a: EndpointState.Ready, c: EndpointState.Ready }, 3_000);
     fixture.list({ c: EndpointState.Ready }, 3_000);
-    const choice = fixture.placing.choose(fixture.request());
-    expect(fixture.asked[0]!.cold).toEqual([]);
+    const choice = fixture.client.choose(fixture.request());
+    expect(fixture.questions[0]!.cold).toEqual([]);
     fixture.answer("c");
     expect(await choice).toBeUndefined();
 });
 
-test("placer that knows no endpoint", async () => {
-    // Guards against a refusal while this entry knows endpoints that may get work, as a placer has just started.
+test("entry chooses itself when the placer knows no endpoint", async () => {
+    // Guards against a rejection by a placer that has just started, while this entry knows endpoints that may get the
+    // request.
     const fixture = new Fixture();
-    const choice = fixture.placing.choose(fixture.request());
-    fixture.placing.receiveAnswer({ type: "NoEndpoint", serial: fixture.asked[0]!.serial });
+    const choice = fixture.client.choose(fixture.request());
+    fixture.client.receiveAnswer({ type: "NoEndpoint", serial: fixture.questions[0]!.serial });
     expect((await choice)!.endpoint.record.id).toBe("a");
 });
 
-test("two silent placers, then its own choice", async () => {
+test("entry chooses itself after two unresponsive placers", async () => {
     // Guards against requests that wait for entries which are gone.
     const fixture = new Fixture();
-    const choice = fixture.placing.choose(fixture.request());
+    const choice = fixture.client.choose(fixture.request());
     await fixture.clock.run(100);
     expect((await choice)!.endpoint.record.id).toBe("a");
-    expect(fixture.silent).toEqual(["p1", "p2"]);
+    expect(fixture.unresponsivePlacers).toEqual(["p1", "p2"]);
 });
 
-test("late answer is given back", async () => {
-    // Guards against endpoints that seem busy with work which went elsewhere.
+test("placement of a late answer is undone", async () => {
+    // Guards against endpoints that seem busy with work which was sent elsewhere.
     const fixture = new Fixture();
-    const choice = fixture.placing.choose(fixture.request());
+    const choice = fixture.client.choose(fixture.request());
     await fixture.clock.run(50);
-    const [first] = fixture.asked;
+    const [first] = fixture.questions;
     fixture.answer("a");
     await choice;
     fixture.answer("b", first!.serial);
-    expect(fixture.told).toEqual([{ type: "Ended", endpoints: ["b"], id: "r" }]);
+    expect(fixture.published).toEqual([{ type: "Ended", endpoints: ["b"], id: "r" }]);
 });
