--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -169,7 +169,7 @@
 
     /** Estimated load of an endpoint. */
     loadOf(endpoint: string): EndpointLoad {
-        return this.core.loads.load(endpoint);
+        return this.core.loads.loadOf(endpoint);
     }
 
     /** Starts listening and following the store; resolves with the actual addresses. */
--- a/src/core/forwarding/endpointSearch.ts
+++ b/src/core/forwarding/endpointSearch.ts
@@ -47,9 +47,9 @@
             targetLeft: route.targetLatency - this.progress.timeSinceArrival,
             patienceLeft: this.progress.patienceLeft,
             dataCentre: this.progress.dependencies.dataCentre,
-            broken: this.progress.attempts.brokenEndpoints,
-            refused: this.progress.attempts.refusedEndpoints,
-            lacking: this.progress.attempts.endpointsWithoutMemory,
+            failedEndpoints: this.progress.attempts.brokenEndpoints,
+            rejectedEndpoints: this.progress.attempts.refusedEndpoints,
+            endpointsWithoutMemory: this.progress.attempts.endpointsWithoutMemory,
         };
         return { id: this.progress.request.id, requirements, endsBy: deadline };
     }
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -121,7 +121,7 @@
     private recordLost(endpoint: KnownEndpoint, isStalled: boolean): void {
         const { failureTracker, metrics } = this.dependencies;
         if (isStalled) {
-            failureTracker.recordSilent(endpoint);
+            failureTracker.recordUnresponsive(endpoint);
         }
         else {
             failureTracker.recordLost(endpoint);
