--- a/__tests__/forwarding/configuration.test.ts
+++ b/__tests__/forwarding/configuration.test.ts
@@ -1,4 +1,4 @@
-/** Configuration, endpoints and outs as they come from the store, while it is away, slow, deaf or forgetful. */
+/** State from a store that is unavailable, slow, stalled or without its history. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { Refusal } from "../../platform/standins/storeServer.js";
 import { configurationOf, endpointOf } from "../../platform/storedObjects.js";
@@ -28,7 +28,7 @@
     await until(() => entry.configuration.version === 2);
 });
 
-test("no call while nothing changes but the watches", async () => {
+test("no calls but watches while nothing changes", async () => {
     const { door } = await site.start("entry-1");
     await systemClock.sleep(200);
     const before = door.calls;
@@ -36,9 +36,9 @@
     expect(door.calls - before).toBeLessThanOrEqual(3);
 });
 
-test("lost history", async () => {
-    // The store drops its history while an entry's watch is cut. The entry can't learn what changed meanwhile from a watch,
-    // and would serve an old configuration for good.
+test("entry lists again after the store has lost its history", async () => {
+    // The store drops its history while an entry's watch is disconnected. No watch returns the changes made meanwhile, so
+    // without a new list the entry would serve a stale configuration for good.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Reset;
     await systemClock.sleep(2_100);
@@ -62,8 +62,8 @@
 }
 
 test("watch on a silent connection", async () => {
-    // A connection to the store falls silent for good while new ones work. Nothing says so, and a watch without a bound of
-    // its own would wait for ever.
+    // A connection to the store stalls for good while new ones work. No error is reported, and a watch without a timeout would
+    // never end.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Silent;
     await systemClock.sleep(2_100);
@@ -73,8 +73,8 @@
 });
 
 test("request that comes before the configuration waits for it", async () => {
-    // All entries have lost their power and are started again, and callers come back at once. A few milliseconds before an
-    // entry knows its configuration it would refuse them, and each would have lost its first try.
+    // After a power loss all entries restart and callers reconnect at once. An entry that rejected requests in the few
+    // milliseconds before it has its configuration would fail each caller's first attempt.
     const entry = await site.start("entry-1", false, { delay: 150 });
     expect(entry.entry.ready).toBe(false);
     expect((await call(entry.callers, "/lookups/a")).status).toBe(200);
@@ -88,8 +88,8 @@
     expect(answer.took).toBeLessThan(250);
 });
 
-test("entry that others are named for learns from them", async () => {
-    // Ninety entries start together. If each read the store for itself, the start alone would cost a thousand calls.
+test("entry with seeds fetches its state from them", async () => {
+    // 90 entries start together. If each read the store itself, the start alone would cost a thousand calls.
     const first = await site.start("entry-1");
     const later = await Promise.all(
         ["entry-2", "entry-3", "entry-4", "entry-5", "entry-6"].map(id =>
@@ -98,14 +98,14 @@
     );
     for (const { entry, door } of later) {
         expect(entry.configuration.version).toBe(1);
-        // Some of them watch the store for all; none has listed anything.
+        // Some of these entries watch the store for all; none has listed it.
         expect(door.calls).toBeLessThanOrEqual(3);
     }
 });
 
-test("large configuration goes packed from entry to entry", async () => {
-    // A thousand routes take a thin link for a fifth of a second. One entry is asked for them by a dozen others at once, and
-    // the last of these would serve by the old configuration for seconds.
+test("large configuration is compressed between entries", async () => {
+    // A thousand routes occupy a slow link for 200 ms. A dozen entries fetch them from one at the same time, and the last of
+    // them would serve by the old configuration for seconds.
     const routes = Array.from({ length: 1_000 }, (...[, index]) => ({
         name: `route-${index}`,
         hostname: "desk.example",
@@ -131,7 +131,7 @@
     expect(second.entry.configuration.routes!.configuration.routes).toHaveLength(1_000);
 });
 
-test("store down at the start", async () => {
+test("entry becomes ready after the store was down at its start", async () => {
     const started = site.start("entry-1", false);
     site.entries.forEach(({ door }) => door.refusal = Refusal.Busy);
     const { entry, door } = await started;
@@ -142,8 +142,8 @@
 });
 
 test("lower version is never taken", () => {
-    // A list that was under way when a watch brought a newer version ends after it. Taking it would bring back routes and
-    // keys that were taken away.
+    // A list call that was in flight when a watch returned a newer version ends after that watch. Adopting the listed version
+    // would restore removed routes and keys.
     const configuration = new ActiveConfiguration();
     expect(configuration.adopt(configurationOf(operatorConfiguration(5))!)).toBe(true);
     expect(configuration.adopt(configurationOf(operatorConfiguration(4))!)).toBe(false);
@@ -151,7 +151,7 @@
     expect(configuration.version).toBe(5);
 });
 
-test("route and key taken away", async () => {
+test("removed key is rejected", async () => {
     const { entry, callers } = await site.start("entry-1");
     const configuration = operatorConfiguration(2);
     configuration.tenants = [{ name: "south", api_keys: ["another"] }];
@@ -192,9 +192,9 @@
     await until(() => entry.directory.usable("bookings").length === 0);
 });
 
-test("records that lapsed while the store was away", async () => {
-    // Endpoints can't renew their records while the store is down, and the records lapse. Dropping them at its return would
-    // leave no endpoint at all until each has written again.
+test("endpoint stays usable when its record expired during a store outage", async () => {
+    // Endpoints can't renew their records while the store is down, so the records expire. Dropping the endpoints at the store's
+    // return would leave none until they have written their records again.
     const { entry, door } = await site.start("entry-1");
     const record = site.store.model.get("servers", "i-1")!.value as object;
     door.refusal = Refusal.Busy;
@@ -210,7 +210,7 @@
     await until(() => entry.directory.usable("bookings").length === 0);
 });
 
-test("lapsed record that doesn't come back", async () => {
+test("endpoint is dropped when its expired record isn't renewed", async () => {
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Busy;
     await systemClock.sleep(2_100);
@@ -232,9 +232,9 @@
     expect(endpointOf("i", "bytes")).toBeUndefined();
 });
 
-test("lost answer to a write", async () => {
-    // The store takes an entry's own record and its answer is lost. The entry writes again, and must not take its own record
-    // for somebody else's.
+test("write is repeated after its response was lost", async () => {
+    // The store writes an entry's record, but its response is lost. The entry writes again, and must not mistake its own record
+    // for another entry's.
     const door = await site.store.door();
     door.losesAnswers = true;
     const { StoreClient } = await import("../../platform/storeClient.js");
@@ -246,7 +246,7 @@
     expect(site.store.model.get("entries", "entry-9")?.value).toEqual({ address: "127.0.0.1:9" });
 });
 
-test("conditional write", () => {
+test("conditional writes of the store stand-in", () => {
     const { model } = site.store;
     expect(model.create("entries", "a", 1).type).toBe("Written");
     expect(model.create("entries", "a", 2).type).toBe("Conflict");
--- a/__tests__/forwarding/layout.test.ts
+++ b/__tests__/forwarding/layout.test.ts
@@ -1,4 +1,4 @@
-/** What keeps the folders apart. */
+/** Dependency rules between folders. */
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import path from "node:path";
 import { expect, test } from "vitest";
@@ -12,7 +12,7 @@
         return statSync(file).isDirectory() ? filesBelow(file) : [file];
     });
 
-/** Names that belong to the platform alone: its own headers, calls, variables and stored fields. */
+/** Names that only the platform's folder may contain: its headers, paths, environment variables and stored fields. */
 const platformNames = [
     ...Object.values(names.header).filter(name => name.toLowerCase().startsWith("dandelionramp-")),
     names.objectsPath,
@@ -29,7 +29,7 @@
     expect(found).toEqual([]);
 });
 
-/** Files of the project that `file` loads, directly or through others, and the packages. */
+/** Files of the project and packages that `file` imports, directly or transitively. */
 const loadedBy = (file: string, seen = new Set<string>()): Set<string> => {
     if (seen.has(file)) {
         return seen;
--- a/__tests__/forwarding/peerNews.test.ts
+++ b/__tests__/forwarding/peerNews.test.ts
@@ -1,4 +1,4 @@
-/** What entries tell one another, and what it costs them, at the sizes of sites: in simulated time, without sockets. */
+/** Updates between entries and their cost at several site sizes, in simulated time without sockets. */
 import { expect, test } from "vitest";
 import { Membership } from "../../src/core/membership/membership.js";
 import { Peers } from "../../src/core/membership/peers.js";
@@ -10,7 +10,7 @@
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
 import { silentLog } from "../../src/utils/log.js";
 
-const delay = 1;
+const networkDelay = 1;
 
 interface Member {
     id: string;
@@ -18,13 +18,13 @@
     peers: Peers;
     membership: Membership;
     loads: SharedLoadEstimator;
-    ending: AbortController;
+    abort: AbortController;
     sent: number;
-    /** Whether datagrams to it arrive. */
-    reached: boolean;
+    /** Whether it receives datagrams. */
+    isReachable: boolean;
 }
 
-/** Entries that all start together and know a few of each other, as settings name them. */
+/** Entries that start together with the first three as seeds. */
 class Site {
     readonly clock = new SimulatedClock();
     readonly members: Member[] = [];
@@ -60,9 +60,9 @@
             peers,
             membership: new Membership(peers, id),
             loads,
-            ending,
+            abort: ending,
             sent: 0,
-            reached: true,
+            isReachable: true,
         };
         this.members[index] = member;
         peers.sendGreetings(this.members.slice(0, 3).filter(other => other !== member).map(other => other.address));
@@ -71,11 +71,11 @@
     }
 
     stop(index: number): void {
-        this.members[index]!.ending.abort();
-        this.members[index]!.reached = false;
+        this.members[index]!.abort.abort();
+        this.members[index]!.isReachable = false;
     }
 
-    /** Datagrams that an entry sends in a second, on average and over `seconds`. */
+    /** Average number of datagrams that an entry sends per second, over `seconds`. */
     async sentPerSecond(seconds: number): Promise<number> {
         for (const member of this.members) {
             member.sent = 0;
@@ -87,9 +87,9 @@
     private send(from: Member, addresses: readonly string[], packet: PeerPacket): void {
         for (const address of addresses) {
             from.sent++;
-            this.clock.after(delay, () => {
+            this.clock.after(networkDelay, () => {
                 const to = this.members.find(member => member.address === address);
-                if (to?.reached) {
+                if (to?.isReachable) {
                     to.peers.receive(packet);
                 }
             });
@@ -105,8 +105,8 @@
     });
 
     test(`half of ${count} entries killed at once are missed, and found again`, async () => {
-        // Half of a site loses its power. Who is left must notice soon that nobody watches the store for all, and the others
-        // must be known again when they are back.
+        // Half of a site loses power. The remaining entries must soon detect that the watchers of the store are gone, and must
+        // find the others again after their restart.
         const site = new Site(count);
         await site.clock.run(5_000);
         const half = Math.floor(count / 2);
@@ -124,7 +124,7 @@
     });
 
     test(`placement is known by all who choose endpoints for ${count} entries, and its end`, async () => {
-        // Guards against endpoints that are taken twice, as who chooses for others doesn't know what was placed.
+        // Guards against placers that choose an endpoint in use because they haven't received its placement.
         const site = new Site(count);
         await site.clock.run(5_000);
         site.members[0]!.loads.recordPlaced([{
@@ -142,20 +142,20 @@
             endsBy: 60_000,
         }]);
         const placers = site.members.filter(({ peers }) => peers.placers().self);
-        const known = () => placers.filter(({ loads }) => loads.load("e").requests === 1).length;
-        // As long as a caller can wait for its placement to be known: a tenth of the shortest target.
+        const informedCount = () => placers.filter(({ loads }) => loads.load("e").requests === 1).length;
+        // 30 ms, the tolerable delay until placers have a placement: a tenth of the shortest latency target.
         await site.clock.run(5_030);
         expect(placers.length).toBeGreaterThan(1);
-        expect(known()).toBe(placers.length);
+        expect(informedCount()).toBe(placers.length);
         site.members[0]!.loads.recordEnded(["e"], "r");
         await site.clock.run(5_400);
-        expect(known()).toBe(0);
+        expect(informedCount()).toBe(0);
     });
 }
 
-test("what an entry sends grows no faster than the root of their number", async () => {
-    // Ninety entries that heard each other twice a second spent a twentieth of a core on it. With three times as many entries
-    // each may send about the root of three as much.
+test("datagrams per entry grow no faster than the square root of the number of entries", async () => {
+    // 90 entries that received each other's heartbeats twice a second spent 5% of a core on them. With three times as many
+    // entries, each may send about sqrt(3) times as much.
     const sent = new Map<number, number>();
     for (const count of [30, 91, 273]) {
         const site = new Site(count);
@@ -166,22 +166,22 @@
     expect(sent.get(273)! / sent.get(91)!).toBeLessThan(Math.sqrt(3) * 1.3);
 });
 
-test("small change goes with the news of it", async () => {
-    // An endpoint leaves. If each of ninety entries had to ask for the change, two entries would answer fifteen questions each.
+test("update on a store read carries a small delta", async () => {
+    // An endpoint leaves. If each of 90 entries had to fetch the change, two entries would answer fifteen requests each.
     const site = new Site(30);
     await site.clock.run(5_000);
-    const heard = new Set<string>();
+    const receivers = new Set<string>();
     for (const { id, peers } of site.members) {
-        peers.onStateDelta = () => heard.add(id);
+        peers.onStateDelta = () => receivers.add(id);
     }
     const change: StateDelta = { kind: StateKind.Endpoints, after: 3, revision: 4, wasAway: false, changes: [] };
     site.members[4]!.peers.publishStoreRead(change);
     await site.clock.run(5_100);
-    expect(heard.size).toBe(29);
+    expect(receivers.size).toBe(29);
 });
 
-test("entry that watches is missed before a change is overdue", async () => {
-    // The entries that watch the store are killed. All others rely on them, and are held to a change within two seconds.
+test("failure of a watcher is detected before a change is overdue", async () => {
+    // An entry that watches the store is killed. All others depend on the watchers and must get a change within two seconds.
     const site = new Site(30);
     for (const { peers } of site.members) {
         peers.isWatcher = () => true;
--- a/__tests__/forwarding/peers.test.ts
+++ b/__tests__/forwarding/peers.test.ts
@@ -1,4 +1,4 @@
-/** What entries tell one another, over real datagrams. */
+/** Updates between entries over UDP sockets. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { Refusal } from "../../platform/standins/storeServer.js";
 import { systemClock } from "../../src/utils/clock.js";
@@ -16,9 +16,9 @@
 
 afterEach(() => site.close());
 
-const knows = (entry: string, other: string): boolean => timesMet(entry, other) > 0;
+const hasFound = (entry: string, other: string): boolean => contactCount(entry, other) > 0;
 
-const timesMet = (entry: string, other: string): number =>
+const contactCount = (entry: string, other: string): number =>
     site.lines.filter(line =>
         line.entry === entry && line.message === "peers: Entries are there."
         && (line.fields.entries as string[]).includes(other)
@@ -28,31 +28,32 @@
     await Promise.all(["entry-1", "entry-2", "entry-3"].map(id => site.start(id)));
     for (const one of ["entry-1", "entry-2", "entry-3"]) {
         for (const other of ["entry-1", "entry-2", "entry-3"].filter(id => id !== one)) {
-            await until(() => knows(one, other));
+            await until(() => hasFound(one, other));
         }
     }
 });
 
 test("entries that place at the same time choose different endpoints", async () => {
-    // Two entries that don't know of one another both take the first idle endpoint, and one reply waits for the other's read.
+    // Without each other's placements, two entries choose the same idle endpoint, and one request waits behind the other's
+    // prefill.
     const first = await site.start("entry-1");
     const second = await site.start("entry-2");
-    await until(() => knows("entry-1", "entry-2") && knows("entry-2", "entry-1"));
-    // Too long to be read beside writers, so that it doesn't matter how far the first has come.
+    await until(() => hasFound("entry-1", "entry-2") && hasFound("entry-2", "entry-1"));
+    // Too long to be prefilled beside decoding, so that the progress of the first request doesn't matter.
     const promptTokens = 90_000;
     const long = call(first.callers, "/replies/a", { headers: generation(promptTokens, 1_200) });
-    const believed = () => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requests > 0);
-    await until(() => believed() && [...site.replicas.values()].some(replica => replica.arrivals.length > 0));
+    const isEstimated = () => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requests > 0);
+    await until(() => isEstimated() && [...site.replicas.values()].some(replica => replica.arrivals.length > 0));
     const taken = [...site.replicas.values()].find(replica => replica.arrivals.length > 0)!;
     await call(second.callers, "/replies/a", { headers: generation(promptTokens, 8) });
     expect(taken.arrivals).toHaveLength(1);
     await long;
 });
 
-test("stopping entry is counted no more", async () => {
+test("stopping entry is announced and taken off the list", async () => {
     const first = await site.start("entry-1");
     const second = await site.start("entry-2");
-    await until(() => knows("entry-1", "entry-2"));
+    await until(() => hasFound("entry-1", "entry-2"));
     void second.entry.stop();
     await until(() =>
         site.lines.some(({ entry, message }) => entry === "entry-1" && message === "peers: An entry is stopping.")
@@ -62,11 +63,11 @@
 });
 
 test("entry that the store turns away learns from others", async () => {
-    // The store turns one entry away and serves the others. A key is taken away, a route moves, a replica leaves and a data
-    // centre goes out meanwhile. Callers of that entry would go on being served by what holds no more.
+    // The store rejects one entry and serves the others, while the configuration changes, an endpoint drains and a data centre
+    // is excluded. Without its peers the entry would serve its callers by stale state.
     const served = await site.start("entry-1");
     const { entry, door } = await site.start("entry-2");
-    await until(() => knows("entry-1", "entry-2") && knows("entry-2", "entry-1"));
+    await until(() => hasFound("entry-1", "entry-2") && hasFound("entry-2", "entry-1"));
     door.refusal = Refusal.Busy;
     site.configure(2);
     site.record("m-1", { state: "draining" });
@@ -78,19 +79,19 @@
     await until(() => !usable().includes("m-1") && !usable().includes("m-2"));
 });
 
-test("entry that starts while the store turns it away", async () => {
-    // A replaced entry would stay without configuration, and refuse everything, although its neighbours know all of it.
+test("entry that starts without access to the store gets its state from peers", async () => {
+    // Otherwise a replaced entry would stay without configuration and reject every request, although its peers have one.
     await site.start("entry-1");
     const first = await site.start("entry-2");
-    await until(() => knows("entry-1", "entry-2"));
+    await until(() => hasFound("entry-1", "entry-2"));
     await first.entry.close();
     const again = await site.start("entry-2", false, { refusal: Refusal.Silent, peers: first.peers });
     await until(() => again.entry.ready);
 });
 
 test("restarted entry learns the work in progress", async () => {
-    // Entries are restarted in turn. A new process knows nothing of what the others have placed, takes all endpoints for
-    // idle, and sends short prompts behind long reads.
+    // Entries are restarted one by one. Without the others' placements a new process estimates all endpoints as idle and
+    // sends short prompts behind long prefills.
     const first = await site.start("entry-1");
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_000) });
     await until(() => [...site.replicas.keys()].some(id => first.entry.loadOf(id).requests > 0));
@@ -101,20 +102,20 @@
 });
 
 test("work of a stopping entry still counts", async () => {
-    // A stopping entry goes on serving what it has for seconds. If it were forgotten at once, its long reads would seem to be
-    // over, and its next message would make it a new entry.
+    // A stopping entry serves its open requests for seconds. If it were removed at once, its long prefills would count as
+    // ended, and its next message would register it as a new entry.
     const first = await site.start("entry-1");
     const second = await site.start("entry-2");
-    await until(() => knows("entry-1", "entry-2") && knows("entry-2", "entry-1"));
+    await until(() => hasFound("entry-1", "entry-2") && hasFound("entry-2", "entry-1"));
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_500) });
     await until(() => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requests > 0));
     const taken = [...site.replicas.keys()].find(id => second.entry.loadOf(id).requests > 0)!;
     void first.entry.stop();
     const stopped = () => site.lines.some(({ entry, message }) => entry === "entry-2" && /is stopping/.test(message));
     await until(stopped);
-    // Long enough for its next sign of life.
+    // Long enough for its next heartbeat.
     await systemClock.sleep(700);
     expect(second.entry.loadOf(taken).requests).toBe(1);
-    expect(timesMet("entry-2", "entry-1")).toBe(1);
+    expect(contactCount("entry-2", "entry-1")).toBe(1);
     await long;
 });
--- a/__tests__/forwarding/placers.test.ts
+++ b/__tests__/forwarding/placers.test.ts
@@ -1,4 +1,4 @@
-/** Entries that choose endpoints for all others: who they are, and what happens without them. */
+/** Selection of placers, and behaviour without them. */
 import path from "node:path";
 import { expect, test } from "vitest";
 import { choosePlacers, type PlacerCandidate, PlacerRoster } from "../../src/core/membership/placers.js";
@@ -18,15 +18,15 @@
 
 const entriesOf = (count: number): PlacerCandidate[] => [...Array(count).keys()].map(index => candidate(index));
 
-const placersSeenBy = (self: PlacerCandidate, entries: readonly PlacerCandidate[]): string[] => {
+const placersSelectedBy = (self: PlacerCandidate, entries: readonly PlacerCandidate[]): string[] => {
     const { self: places, others } = choosePlacers(self, entries.filter(entry => entry !== self));
     return [...others.map(({ id }) => id), ...places ? [self.id] : []].sort();
 };
 
-test("all agree on who chooses, the strongest of each data centre", () => {
-    // Guards against thin instances on which a hundred requests a second wait to be placed.
+test("all entries select the same placers, those with the most cores in each data centre", () => {
+    // Guards against small instances as placers, on which a hundred requests a second would wait for their placement.
     const entries = entriesOf(195);
-    const seen = entries.map(entry => placersSeenBy(entry, entries));
+    const seen = entries.map(entry => placersSelectedBy(entry, entries));
     expect(new Set(seen.map(ids => ids.join())).size).toBe(1);
     const placers = entries.filter(({ id }) => seen[0]!.includes(id));
     expect(placers.every(({ processors }) => processors === 1.35)).toBe(true);
@@ -35,20 +35,20 @@
 });
 
 test("each of a few entries chooses by itself", () => {
-    // Guards against a hop, and a dependence, that a small site doesn't need.
+    // Guards against an extra round trip and a dependency that a small site doesn't need.
     const [self, ...others] = entriesOf(9);
     expect(choosePlacers(self!, others)).toMatchObject({ everyone: true, asked: [] });
 });
 
 test("entry that knows no endpoints yet isn't asked", () => {
-    // Guards against requests that wait in vain for a process that has just started.
+    // Guards against requests that wait for a response from a process that has just started and can't place them.
     const entries = entriesOf(30).map(entry => entry.processors > 1 ? { ...entry, places: false } : entry);
-    const ids = placersSeenBy(entries[1]!, entries);
+    const ids = placersSelectedBy(entries[1]!, entries);
     expect(entries.filter(({ id }) => ids.includes(id)).every(({ places }) => places)).toBe(true);
 });
 
-test("placer that gave no answer rests, and is asked again", () => {
-    // Guards against a wait for each request while a placer is gone but not yet missed.
+test("placer that timed out is in back-off, and is asked again afterwards", () => {
+    // Guards against a timeout for each request between a placer's failure and its detection.
     let now = 0;
     const clock = { now: () => now } as Clock;
     const [self, ...others] = entriesOf(30);
@@ -65,23 +65,24 @@
     return { ...pattern, pattern: { ...pattern.pattern, seconds: 8, entries: 40 } };
 };
 
-const refused = ({ records }: ReplayResult): number => records.filter(({ outcome }) => outcome === "refused").length;
+const rejectedCount = ({ records }: ReplayResult): number =>
+    records.filter(({ outcome }) => outcome === "refused").length;
 
 const share = (result: ReplayResult): number => replayReport([result]).share;
 
-test("entries that hear nothing of one another serve all the same", async () => {
-    // Guards against requests that are refused or failed because nobody chooses for them.
+test("entries that are all partitioned from one another serve all requests", async () => {
+    // Guards against requests that are rejected or fail because no placer responds.
     const pattern = shortMix();
     const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: undefined, strength: 1 };
     const result = await replay({ ...pattern, fault: { cut } }, { seed: 1 });
-    const silences = result.lines.filter(({ message }) => message.startsWith("placing: An entry that chooses"));
-    expect(silences.length).toBeGreaterThan(10);
-    expect(refused(result)).toBe(0);
+    const timeouts = result.lines.filter(({ message }) => message.startsWith("placing: An entry that chooses"));
+    expect(timeouts.length).toBeGreaterThan(10);
+    expect(rejectedCount(result)).toBe(0);
     expect(result.lines.filter(({ message }) => message === "request: A request failed.")).toEqual([]);
 });
 
-test("entries of one data centre cut off", async () => {
-    // Guards against a cut that costs more than the requests of the entries that are cut off.
+test("partition of one data centre's entries costs no other entry's requests", async () => {
+    // Guards against a partition that costs more than the requests of the partitioned entries.
     const pattern = shortMix();
     const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: "1", strength: 1 };
     const [whole, part] = [
@@ -89,13 +90,14 @@
         await replay({ ...pattern, fault: { cut } }, { seed: 1 }),
     ];
     const requestsOfCut = 1 / 3 * 4 / 8;
-    expect(refused(part)).toBe(0);
+    expect(rejectedCount(part)).toBe(0);
     expect(share(part)).toBeGreaterThan(share(whole) - requestsOfCut);
 });
 
-test("what entries hear doesn't grow with their number as placements do", async () => {
-    // Guards against hundreds of entries that each hear of every placement: 289 datagrams a request at 195 entries.
+test("datagrams per entry don't grow in proportion to the number of entries", async () => {
+    // Guards against sending every placement to each of hundreds of entries: 289 datagrams per request at 195 entries.
     const pattern = shortMix();
-    const heard = async (entries: number) => (await replay(pattern, { seed: 1, entries })).datagrams / entries;
-    expect(await heard(120) / await heard(30)).toBeLessThan(Math.sqrt(4) * 1.3);
+    const datagramsPerEntry = async (entries: number) =>
+        (await replay(pattern, { seed: 1, entries })).datagrams / entries;
+    expect(await datagramsPerEntry(120) / await datagramsPerEntry(30)).toBeLessThan(Math.sqrt(4) * 1.3);
 });
--- a/__tests__/forwarding/stateFollower.test.ts
+++ b/__tests__/forwarding/stateFollower.test.ts
@@ -1,4 +1,4 @@
-/** Following stored objects with the help of other entries: no socket, a store and entries in memory. */
+/** Following stored objects with the help of peers, with an in-memory store and peers and without sockets. */
 import { expect, test } from "vitest";
 import {
     StateFollower,
@@ -18,14 +18,14 @@
 const item = (name: string, revision: number) => ({ name, revision, value: true as const });
 
 class Fixture {
-    watches = 0;
-    lists = 0;
-    newest = 0;
+    watchCount = 0;
+    listCount = 0;
+    newestRevision = 0;
     /** When the store last answered another entry. */
     readAt = -Infinity;
-    news: StateUpdate<Value> | undefined;
-    readonly out = new Set<string>();
-    readonly ending = new AbortController();
+    peerUpdate: StateUpdate<Value> | undefined;
+    readonly excluded = new Set<string>();
+    readonly abort = new AbortController();
     /** Never answers unless a test says so. */
     watch: StatePort["watch"] = () => new Promise(() => {});
     readonly peers: StatePeers & { isWatcher: boolean; } = {
@@ -36,20 +36,20 @@
         pollRank: 0,
         peersWithoutStoreCount: 0,
         lastReadAt: () => this.readAt,
-        hasNewer: (asked, revision) => asked === kind && this.newest > (revision ?? -1),
+        hasNewer: (asked, revision) => asked === kind && this.newestRevision > (revision ?? -1),
         fetchUpdate: <Kind extends StateKind>() =>
-            Promise.resolve(this.news as StateUpdate<StateValues[Kind]> | undefined),
+            Promise.resolve(this.peerUpdate as StateUpdate<StateValues[Kind]> | undefined),
     };
     readonly follower: StateFollower<typeof kind>;
 
     constructor(changes: Partial<StatePort> = {}) {
         const store: StatePort = {
             list: () => {
-                this.lists++;
+                this.listCount++;
                 return Promise.resolve({ revision: 10, items: [] });
             },
             watch: (...call) => {
-                this.watches++;
+                this.watchCount++;
                 return this.watch(...call);
             },
             announce: () => Promise.resolve(),
@@ -67,84 +67,84 @@
         };
         this.follower = new StateFollower(parts, kind, {
             replace: ({ items }) => {
-                this.out.clear();
+                this.excluded.clear();
                 for (const { name } of items) {
-                    this.out.add(name);
+                    this.excluded.add(name);
                 }
             },
             apply: ({ changes }) => {
                 for (const { name } of changes) {
-                    this.out.add(name);
+                    this.excluded.add(name);
                 }
             },
         });
-        void this.follower.run(this.ending.signal);
+        void this.follower.run(this.abort.signal);
     }
 
-    /** Another entry learns that `name` is out. */
-    told(name: string, revision: number): void {
-        this.newest = revision;
+    /** A peer gets the change that excludes the data centre `name`. */
+    publishFromPeer(name: string, revision: number): void {
+        this.newestRevision = revision;
         const changes = [{ ...item(name, revision), removed: false }];
-        this.news = { type: "Changes", revision, wasAway: false, changes };
+        this.peerUpdate = { type: "Changes", revision, wasAway: false, changes };
         this.peers.changed.notify();
     }
 
-    /** Time goes on for the entry, as its timer tells it. */
-    async ticks(holds: () => boolean): Promise<void> {
+    /** Notifies the follower every 50 ms, like a timer, until `holds` returns true. */
+    async tickUntil(holds: () => boolean): Promise<void> {
         const ticking = setInterval(() => this.peers.changed.notify(), 50);
         await until(holds);
         clearInterval(ticking);
     }
 }
 
-test("watch on a silent connection", async () => {
-    // One connection falls silent for good; the other entries' watches work. A watch waits 12 s, and all
-    // that time this entry would send to a data centre that is out.
+test("change from a peer while the watch is on a stalled connection", async () => {
+    // One entry's connection stalls for good while the watches of the others work. A watch waits 12 s, and all that time this
+    // entry would send to an excluded data centre.
     const fixture = new Fixture();
-    await until(() => fixture.watches === 1);
-    fixture.told("north", 12);
-    await fixture.ticks(() => fixture.out.has("north"));
+    await until(() => fixture.watchCount === 1);
+    fixture.publishFromPeer("north", 12);
+    await fixture.tickUntil(() => fixture.excluded.has("north"));
     expect(fixture.follower.mirror.revision).toBe(12);
-    fixture.ending.abort();
+    fixture.abort.abort();
 });
 
 test("entry that doesn't watch makes no call for a change", async () => {
-    // A change answers every watch that waits. If 62 entries watched, each change would cost 62 calls.
+    // A change ends every open watch. If 62 entries watched, each change would cost 62 calls.
     const fixture = new Fixture();
     fixture.peers.isWatcher = false;
-    await until(() => fixture.lists === 1);
-    await fixture.ticks(() => fixture.watches <= 1);
-    fixture.told("north", 12);
-    await fixture.ticks(() => fixture.out.has("north"));
-    expect(fixture.watches).toBeLessThanOrEqual(1);
-    fixture.ending.abort();
+    await until(() => fixture.listCount === 1);
+    await fixture.tickUntil(() => fixture.watchCount <= 1);
+    fixture.publishFromPeer("north", 12);
+    await fixture.tickUntil(() => fixture.excluded.has("north"));
+    expect(fixture.watchCount).toBeLessThanOrEqual(1);
+    fixture.abort.abort();
 });
 
-test("store turns this entry away", async () => {
+test("change from a peer while the store rejects this entry's watches", async () => {
     const fixture = new Fixture();
     fixture.watch = () => Promise.reject(new StateError("refused"));
-    await until(() => fixture.watches > 0);
-    fixture.told("north", 12);
-    await fixture.ticks(() => fixture.out.has("north"));
-    fixture.ending.abort();
+    await until(() => fixture.watchCount > 0);
+    fixture.publishFromPeer("north", 12);
+    await fixture.tickUntil(() => fixture.excluded.has("north"));
+    fixture.abort.abort();
 });
 
-test("nothing known yet, and the store turns this entry away", async () => {
+test("first state from a peer while the store rejects this entry", async () => {
     const fixture = new Fixture({ list: () => Promise.reject(new StateError("refused")) });
-    fixture.told("north", 12);
-    await fixture.ticks(() => fixture.out.has("north"));
-    fixture.ending.abort();
+    fixture.publishFromPeer("north", 12);
+    await fixture.tickUntil(() => fixture.excluded.has("north"));
+    fixture.abort.abort();
 });
 
-test("older news changes nothing", async () => {
-    // An entry that was frozen for seconds wakes and tells of what has long changed again.
+test("update from a peer with an older revision is ignored", async () => {
+    // An entry that was frozen for seconds resumes and publishes stale state.
     const fixture = new Fixture();
-    await until(() => fixture.watches === 1);
-    fixture.told("north", 9);
-    fixture.newest = 99;
-    await fixture.ticks(() => fixture.watches >= 2);
-    expect(fixture.out.size).toBe(0);
-    fixture.ending.abort();
+    await until(() => fixture.watchCount === 1);
+    fixture.publishFromPeer("north", 9);
+    fixture.newestRevision = 99;
+    await fixture.tickUntil(() => fixture.watchCount >= 2);
+    expect(fixture.excluded.size).toBe(0);
+    fixture.abort.abort();
 });
 
 const mirrorOf = (...revisions: number[]): StateMirror<Value> => {
@@ -156,19 +156,19 @@
     return mirror;
 };
 
-test("changes for who is a little behind", () => {
+test("mirror serves changes to a peer that is slightly behind", () => {
     const news = mirrorOf(12, 15, 20).updateSince(12);
     expect(news).toMatchObject({ type: "Changes", revision: 20 });
     expect(news?.type === "Changes" && news.changes.map(({ name }) => name)).toEqual(["n-15", "n-20"]);
 });
 
-test("everything for who is further behind", () => {
+test("mirror serves a snapshot to a peer that is further behind", () => {
     const news = mirrorOf(12, 15).updateSince(5);
     expect(news).toMatchObject({ type: "Snapshot", revision: 15 });
     expect(news?.type === "Snapshot" && news.items.map(({ name }) => name)).toEqual(["old", "n-12", "n-15"]);
 });
 
-test("nothing for who knows all", () => {
+test("mirror serves nothing to a peer that is up to date", () => {
     expect(mirrorOf(12).updateSince(12)).toBeUndefined();
     expect(new StateMirror<Value>().updateSince(0)).toBeUndefined();
 });
@@ -181,9 +181,9 @@
     expect(mirror.lastChange).toBe(20);
 });
 
-test("store's absence travels with the changes", () => {
-    // Records lapse while the store is away and come back within two seconds. An entry that hears of the lapses from another
-    // one must give the endpoints the same time.
+test("update from a mirror tells that the store was unavailable", () => {
+    // Records expire during a store outage and are written again within two seconds. An entry that receives the removals from
+    // a peer must give the endpoints the same grace period.
     const mirror = mirrorOf(12);
     mirror.apply({ revision: 14, changes: [{ ...item("n-12", 12), removed: true }] }, true);
     expect(mirror.updateSince(12)?.wasAway).toBe(true);
--- a/__tests__/forwarding/storeAway.test.ts
+++ b/__tests__/forwarding/storeAway.test.ts
@@ -1,4 +1,4 @@
-/** Changes of the configuration around a store that falls silent: entries, their news and the store in simulated time. */
+/** Propagation of stored changes around a stalled store: entries, their updates and the store in simulated time. */
 import { expect, test } from "vitest";
 import { StateFollower } from "../../src/core/configuration/stateFollower.js";
 import type { StateMirror } from "../../src/core/configuration/stateMirror.js";
@@ -17,33 +17,33 @@
 import { type Random, seededRandom } from "../../src/utils/random.js";
 
 const kind = StateKind.DataCentresOut;
-/** The store's answer, and the way between two entries. */
-const answerTime: Milliseconds = 4;
-const newsTime: Milliseconds = 1;
-/** A client of the store gives a call up so long after its wait. */
-const callMargin: Milliseconds = 700;
-/** An entry that was undisturbed for so long is held to every change, and a change must be in force after that much. */
+/** Time of the store's response, and the network delay between two entries. */
+const responseTime: Milliseconds = 4;
+const peerDelay: Milliseconds = 1;
+/** A store client cancels a call this long after its wait has elapsed. */
+const callTimeoutMargin: Milliseconds = 700;
+/** Time without disturbance after which an entry must apply every change in time, and the time within which it must do so. */
 const settledAfter: Milliseconds = 3_000;
-const inForceAfter: Milliseconds = 2_000;
+const changeDeadline: Milliseconds = 2_000;
 
-/** A store whose open calls end for good when it falls silent. */
-class SilencingStore {
-    calls = 0;
+/** A store that never answers the calls that are open when it stalls. */
+class StallingStore {
+    callCount = 0;
     revision = 1;
-    private silent = false;
-    private turnedAway: ReadonlySet<number> = new Set();
+    private isSilent = false;
+    private rejectedEntries: ReadonlySet<number> = new Set();
     private waiting = new Set<() => void>();
     private readonly changedAt: { revision: number; at: Milliseconds; }[] = [];
 
     constructor(private readonly clock: SimulatedClock) {}
 
     fallSilent(): void {
-        this.silent = true;
+        this.isSilent = true;
         this.waiting = new Set();
     }
 
-    comeBack(): void {
-        this.silent = false;
+    recover(): void {
+        this.isSilent = false;
     }
 
     change(): void {
@@ -56,12 +56,12 @@
         }
     }
 
-    /** Calls of these entries get no answer any more. */
-    turnAway(entries: ReadonlySet<number>): void {
-        this.turnedAway = entries;
+    /** From now on, calls of these entries get no response. */
+    rejectEntries(entries: ReadonlySet<number>): void {
+        this.rejectedEntries = entries;
     }
 
-    /** The port of one entry. */
+    /** Creates the port of one entry. */
     port(entry: number): StatePort {
         return {
             list: (...[, signal]) => this.call(entry, 0, signal, () => ({ revision: this.revision, items: [] })),
@@ -86,17 +86,17 @@
         signal: AbortSignal,
         answer: () => Answer,
     ): Promise<Answer> {
-        this.calls++;
+        this.callCount++;
         try {
-            return await withTimeout(this.clock, wait + callMargin, "the store's answer", async () => {
-                if (this.silent) {
+            return await withTimeout(this.clock, wait + callTimeoutMargin, "the store's answer", async () => {
+                if (this.isSilent) {
                     await new Promise<never>(() => {});
                 }
                 await this.untilWoken(wait);
-                if (this.turnedAway.has(entry)) {
+                if (this.rejectedEntries.has(entry)) {
                     await new Promise<never>(() => {});
                 }
-                await this.clock.sleep(answerTime);
+                await this.clock.sleep(responseTime);
                 return answer();
             }, signal);
         }
@@ -113,7 +113,7 @@
             };
             this.waiting.add(wake);
             this.clock.after(wait, () => {
-                // A call that was open when the store fell silent gets nothing any more.
+                // A call that was open when the store stalled never gets a response.
                 if (this.waiting.has(wake)) {
                     wake();
                 }
@@ -125,17 +125,17 @@
 interface Entry {
     peers: Peers;
     mirror: StateMirror<true>;
-    /** When it learned each change, by revision. */
-    learnedAt: Map<number, Milliseconds>;
-    ending: AbortController;
+    /** When it applied each change, by revision. */
+    appliedAt: Map<number, Milliseconds>;
+    abort: AbortController;
 }
 
-/** Entries that follow one kind of stored objects. */
+/** Simulated entries that follow one kind of stored objects. */
 class Fleet {
     readonly clock = new SimulatedClock();
-    readonly store = new SilencingStore(this.clock);
+    readonly store = new StallingStore(this.clock);
     readonly running = new Map<string, Entry>();
-    private lives = 0;
+    private startCount = 0;
     private readonly random: Random;
 
     constructor(private readonly count: number, seed: number) {
@@ -147,7 +147,11 @@
 
     start(index: number): void {
         const { clock, random } = this;
-        const self: PeerIdentity = { id: `entry-${index}`, address: `a-${index}`, incarnation: String(this.lives++) };
+        const self: PeerIdentity = {
+            id: `entry-${index}`,
+            address: `a-${index}`,
+            incarnation: String(this.startCount++),
+        };
         const known = (): KnownRevisions =>
             follower.mirror.revision === undefined ? {} : { [kind]: follower.mirror.lastChange };
         const peers: Peers = new Peers({
@@ -164,9 +168,9 @@
             inProgress: () => [],
         });
         const membership = new Membership(peers, self.id);
-        const peerState = new PeerState(peers, this.asking(), membership, `centre-${index % 3}`, random);
+        const peerState = new PeerState(peers, this.statePort(), membership, `centre-${index % 3}`, random);
         const learnedAt = new Map<number, Milliseconds>();
-        const note = (revision: number) => {
+        const recordApplied = (revision: number) => {
             if (!learnedAt.has(revision)) {
                 learnedAt.set(revision, clock.now());
             }
@@ -175,13 +179,13 @@
             { store: this.store.port(index), peers: peerState, clock, random, log: silentLog, peerWaitTimeout: 20 },
             kind,
             {
-                replace: ({ revision }) => note(revision),
-                apply: ({ changes }) => changes.forEach(({ revision }) => note(revision)),
+                replace: ({ revision }) => recordApplied(revision),
+                apply: ({ changes }) => changes.forEach(({ revision }) => recordApplied(revision)),
             },
         );
         peers.onStateDelta = change => follower.applyDelta(change);
         const ending = new AbortController();
-        this.running.set(self.address, { peers, mirror: follower.mirror, learnedAt, ending });
+        this.running.set(self.address, { peers, mirror: follower.mirror, appliedAt: learnedAt, abort: ending });
         peers.applyListing(
             [...Array(this.count).keys()].map(other => ({ id: `entry-${other}`, address: `a-${other}` })),
         );
@@ -190,14 +194,14 @@
     }
 
     kill(index: number): void {
-        this.running.get(`a-${index}`)?.ending.abort();
+        this.running.get(`a-${index}`)?.abort.abort();
         this.running.delete(`a-${index}`);
     }
 
-    /** When the last entry knew the change at `revision`; infinite where one doesn't. */
-    knownByAllAt(revision: number): Milliseconds {
-        return Math.max(...[...this.running.values()].map(({ mirror, learnedAt }) => {
-            const later = [...learnedAt].filter(([known]) => known >= revision).map(([, at]) => at);
+    /** When the last entry applied the change at `revision`; infinite if an entry hasn't. */
+    appliedByAllAt(revision: number): Milliseconds {
+        return Math.max(...[...this.running.values()].map(({ mirror, appliedAt }) => {
+            const later = [...appliedAt].filter(([known]) => known >= revision).map(([, at]) => at);
             return (mirror.revision ?? 0) >= revision ? Math.min(...later) : Infinity;
         }));
     }
@@ -206,15 +210,15 @@
         return {
             send: (addresses, packet) => {
                 for (const address of addresses) {
-                    this.clock.after(newsTime, () => this.running.get(address)?.peers.receive(packet));
+                    this.clock.after(peerDelay, () => this.running.get(address)?.peers.receive(packet));
                 }
             },
         };
     }
 
-    private asking(): PeerStatePort {
+    private statePort(): PeerStatePort {
         const ask = async (...[address, , revision]: [string, StateKind, number]) => {
-            await this.clock.sleep(newsTime);
+            await this.clock.sleep(peerDelay);
             return this.running.get(address)?.mirror.updateSince(revision);
         };
         return {
@@ -226,8 +230,8 @@
 
 for (const count of [7, 40]) {
     test(`changes after a silent store's return, ${count} entries`, async () => {
-        // The store is silent for eight seconds, and most entries are restarted meanwhile. All calls that were begun before its
-        // return stay without an answer. Callers are served by a configuration that has been replaced seconds ago.
+        // The store stalls for eight seconds, and most entries restart meanwhile. All calls started before its recovery stay
+        // unanswered. Without new calls, entries would serve requests by a configuration replaced seconds ago.
         const fleet = new Fleet(count, 1);
         const { clock, store } = fleet;
         await clock.run(4_000);
@@ -245,18 +249,18 @@
         }
         const backAt = 14_000;
         await clock.run(backAt);
-        store.comeBack();
-        await clock.run(backAt + settledAfter - inForceAfter);
+        store.recover();
+        await clock.run(backAt + settledAfter - changeDeadline);
         store.change();
         const { revision } = store;
         await clock.run(30_000);
-        expect(fleet.knownByAllAt(revision)).toBeLessThanOrEqual(backAt + settledAfter);
+        expect(fleet.appliedByAllAt(revision)).toBeLessThanOrEqual(backAt + settledAfter);
     });
 }
 
 for (const silentFor of [100, 1_000, 2_500]) {
     test(`change after the store was silent for ${silentFor} ms`, async () => {
-        // All open calls go silent for good at once, and new ones work soon after.
+        // All open calls stall for good at once, and new calls work soon after.
         for (const seed of [1, 2, 3]) {
             const fleet = new Fleet(7, seed);
             const { clock, store } = fleet;
@@ -265,32 +269,32 @@
             store.fallSilent();
             const backAt = silentAt + silentFor;
             await clock.run(backAt);
-            store.comeBack();
-            await clock.run(backAt + settledAfter - inForceAfter);
+            store.recover();
+            await clock.run(backAt + settledAfter - changeDeadline);
             store.change();
             const { revision } = store;
             await clock.run(40_000);
-            expect(fleet.knownByAllAt(revision)).toBeLessThanOrEqual(backAt + settledAfter);
+            expect(fleet.appliedByAllAt(revision)).toBeLessThanOrEqual(backAt + settledAfter);
         }
     });
 }
 
-/** A hundredth of the calls that the store takes, for one of three kinds: 2,000 a second on small sites, 6,000 on others. */
+/** 1% of the store's call rate for one of three kinds; the store takes 2,000 calls a second on small sites, 6,000 on others. */
 const sitesOfCalls = [{ count: 7, callsPerSecond: 6 }, { count: 40, callsPerSecond: 20 }];
 
 for (const { count, callsPerSecond } of sitesOfCalls) {
     test(`calls to the store, ${count} entries`, async () => {
-        // Each call has its price and its share of the store's rate. If the entries' calls grew with their number, a large site
-        // would be turned away by its own store, most of all when that comes back after an outage.
+        // Each call is charged and counts toward the store's rate limit. If the calls grew with the number of entries, the
+        // store would reject a large site's calls, most of all after an outage.
         const fleet = new Fleet(count, 1);
         const { clock, store } = fleet;
         await clock.run(10_000);
-        const begun = store.calls;
+        const begun = store.callCount;
         await clock.run(30_000);
-        const calm = store.calls - begun;
+        const calm = store.callCount - begun;
         store.fallSilent();
         await clock.run(40_000);
-        const away = store.calls - begun - calm;
+        const away = store.callCount - begun - calm;
         expect(calm).toBeLessThanOrEqual(20);
         expect(away).toBeLessThanOrEqual(10 * callsPerSecond);
     });
@@ -298,15 +302,15 @@
 
 for (const first of [0, 3]) {
     test(`store answers three of seven entries, not those from ${first} on`, async () => {
-        // If the others waited for the turns of entries that get no answer, nobody would hear of a change.
+        // If the others waited for higher-ranked entries that get no response, no entry would receive a change.
         const fleet = new Fleet(7, 1);
         const { clock, store } = fleet;
         await clock.run(5_000);
-        store.turnAway(new Set([0, 1, 2, 3].map(index => first + index)));
+        store.rejectEntries(new Set([0, 1, 2, 3].map(index => first + index)));
         await clock.run(8_000);
         store.change();
         const { revision } = store;
         await clock.run(20_000);
-        expect(fleet.knownByAllAt(revision)).toBeLessThanOrEqual(8_000 + inForceAfter);
+        expect(fleet.appliedByAllAt(revision)).toBeLessThanOrEqual(8_000 + changeDeadline);
     });
 }
--- a/src/core/membership/fanOut.ts
+++ b/src/core/membership/fanOut.ts
@@ -62,9 +62,9 @@
 const partitionIntoGroups = (members: readonly GroupMember[]): GroupMember[][] => {
     const byDataCentre = new Map<string, GroupMember[]>();
     for (const member of members) {
-        const known = byDataCentre.get(member.dataCentre);
-        if (known) {
-            known.push(member);
+        const dataCentreMembers = byDataCentre.get(member.dataCentre);
+        if (dataCentreMembers) {
+            dataCentreMembers.push(member);
         }
         else {
             byDataCentre.set(member.dataCentre, [member]);
--- a/src/core/membership/peerRegistry.ts
+++ b/src/core/membership/peerRegistry.ts
@@ -18,7 +18,7 @@
 const contactTimeout: Milliseconds = 20_000;
 /** An entry that hasn't been received from for this long is lost: no expected partition or restart lasts as long. */
 const lostTimeout: Milliseconds = 120_000;
-/** How long the living entries are cached. Filtering hundreds of entries per request would cost more than the request itself. */
+/** How long the living entries are cached, since filtering hundreds of entries would cost more than handling a request. */
 const livingCacheDuration: Milliseconds = 50;
 /** Number of entry names in one log line. */
 const maximumLoggedNames = 12;
--- a/src/core/membership/placers.ts
+++ b/src/core/membership/placers.ts
@@ -67,7 +67,7 @@
     };
 };
 
-/** Selects the entries with the most cores in each data centre, since a placer short of CPU time delays the requests it places. */
+/** Selects the entries with the most cores in each data centre, since a placer short of CPU time delays requests. */
 const selectPlacers = (entries: readonly PlacerCandidate[]): PlacerCandidate[] => {
     const byDataCentre = new Map<string, PlacerCandidate[]>();
     for (const entry of entries) {
--- a/src/ports/peerChannelPort.ts
+++ b/src/ports/peerChannelPort.ts
@@ -97,7 +97,7 @@
 
 /** To which entries the receiver of a datagram relays its messages. */
 export enum RelayScope {
-    Nobody = "nobody",
+    None = "nobody",
     /** The other entries of the receiver's group. */
     Group = "group",
     /** The other placers. */
