--- a/__tests__/forwarding/storeAway.test.ts
+++ b/__tests__/forwarding/storeAway.test.ts
@@ -284,7 +284,7 @@
 
 for (const { count, callsPerSecond } of sitesOfCalls) {
     test(`calls to the store, ${count} entries`, async () => {
-        // Each call is charged and counts toward the store's rate limit. If the calls grew with the number of entries, the
+        // Each call has a cost and counts toward the store's rate limit. If the calls grew with the number of entries, the
         // store would reject a large site's calls, most of all after an outage.
         const fleet = new Fleet(count, 1);
         const { clock, store } = fleet;
--- a/src/core/configuration/stateFollower.ts
+++ b/src/core/configuration/stateFollower.ts
@@ -1,7 +1,7 @@
 /**
  * Follows one kind of stored objects: lists it once, then watches it, and fetches updates from peers where that is faster.
  *
- * Each call to the store is charged and counts toward the store's rate limit, and a change ends every open watch. Only a few
+ * Each call to the store has a cost and counts toward the store's rate limit, and a change ends every open watch. Only a few
  * entries therefore watch a kind, and all entries agree on which. The others receive the latest revision from any entry and
  * fetch the change from an entry that has it. The same path serves an entry that the store rejects while it serves others,
  * and an entry whose connection to the store has stalled. An update from a peer carries the store's revision, so the higher
--- a/src/core/membership/updateSender.ts
+++ b/src/core/membership/updateSender.ts
@@ -29,7 +29,7 @@
 /** For work that starts to write or ends. Until such an update arrives, peers overestimate the endpoint's load slightly. */
 export const completionBatching: BatchingDelays = { ownGroup: 40, otherGroups: 200 };
 
-/** How long the groups are cached. Forming hundreds of entries into groups per message would take 10% of a small instance's CPU. */
+/** How long the groups are cached. Grouping hundreds of entries for each message would take 10% of a small instance's CPU. */
 const recipientsCacheDuration: Milliseconds = 1_000;
 const smallSiteRecipientsCacheDuration: Milliseconds = 250;
 /** How long updates of other groups are batched before they are relayed. Heartbeats alone can wait longer. */
