--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -126,7 +126,7 @@
             clock,
             random,
             log: log("store"),
-            patience,
+            peerWaitTimeout: patience,
         };
         const { Configuration, Endpoints, DataCentresOut } = StateKind;
         this.followers = {
@@ -307,8 +307,8 @@
             log: log("peers"),
             self: this.self,
             seeds: this.settings.peers.seeds,
-            patience: Math.max(minimumSeedTimeout, this.peerTimeout()),
-            stopping: () => this.plannedStop !== undefined,
+            seedTimeout: Math.max(minimumSeedTimeout, this.peerTimeout()),
+            isStopping: () => this.plannedStop !== undefined,
         });
         const discovery = this.entryDiscovery.run(signal);
         if (this.settings.placement.shared) {
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -153,7 +153,7 @@
         metrics.count("endpoint_refusals_total", `reason="${outcome.reason}"`);
         this.progress.log("An endpoint refused.", endpoint, { reason: outcome.reason, atFault: outcome.atFault });
         if (outcome.coldFor !== undefined) {
-            directory.noteCold(id, outcome.coldFor);
+            directory.recordCold(id, outcome.coldFor);
         }
         if (atFault && atFault.record.id !== id) {
             failureTracker.recordLost(atFault);
