--- a/__tests__/atMostOnce.test.ts
+++ b/__tests__/atMostOnce.test.ts
@@ -1,4 +1,4 @@
-/** Bookings run at most once, and "not run" is true. */
+/** A booking runs at most once, and a request reported as "not run" did not run. */
 import { expect, test } from "vitest";
 import { Execution } from "../src/internal.js";
 import { play, Scene } from "./support/scenario.js";
@@ -6,7 +6,7 @@
 const failureOf = (end: unknown): { execution?: Execution; retryAfterSeconds?: number; } =>
     (end as { failure?: { execution: Execution; }; } | undefined)?.failure ?? {};
 
-/** A parent presses "book" twice; the balancer brings the two requests to two entries at the same moment. */
+/** A caller sends the same booking several times, and the load balancer sends the requests to all entries at once. */
 const twoEntriesAtOnce = async ({ callers, pass, entry }: Scene): Promise<void> => {
     callers.book(entry(0), "family-1");
     callers.book(entry(1), "family-1");
@@ -20,7 +20,7 @@
     expect(await play({}, twoEntriesAtOnce, "claims")).toContain("key family-1 ran 3 times");
 });
 
-/** The service runs the booking and its answer is lost on the way. A second try would charge the family twice. */
+/** The service runs the booking, but its response is lost. A retry would run the booking and charge it twice. */
 const answerLost = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     for (const service of world.services) {
         service.lostAnswers = 1;
@@ -39,7 +39,7 @@
 });
 
 test("lost answer without a key", async () => {
-    // Without a key nobody can ask again safely, so the entry itself must never send it twice.
+    // Without a key a retry can't be recognized as a repeat, so the entry must never send the booking twice.
     const keyless = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.services.forEach(service => service.lostAnswers = 1);
         callers.book(entry(0), undefined);
@@ -50,8 +50,8 @@
 });
 
 /**
- * The holder of a claim is paused right after claiming; a repeat comes by another entry. If the claim could be taken
- * over, the paused holder would wake and book a second time.
+ * The holder of a claim is paused right after creating it, and a repeat arrives at another entry. If that entry took the
+ * claim over, the holder would send the booking a second time when it resumes.
  */
 const holderPaused = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     const holder = entry(0);
@@ -71,7 +71,7 @@
     expect(await play({}, holderPaused, "claimsStayWithHolder")).toContain("key family-3 ran 2 times");
 });
 
-/** An entry dies while its booking runs at the service. Its caller asks again elsewhere and must not be booked twice. */
+/** An entry dies while its booking runs at the service. The caller retries at another entry; the booking must not run twice. */
 const holderDies = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     const holder = entry(0);
     callers.book(holder, "family-4");
@@ -89,7 +89,7 @@
 });
 
 test("lost answers of the platform", async () => {
-    // Half of all writes take effect and lose their answer. Bookings still run, once, and their repeats get the answer.
+    // Half of the platform's writes succeed but lose their response. Bookings must run once, and repeats get the response.
     const lossy = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.platform.faults.lostAnswers = 0.5;
         const first = callers.book(entry(0), "family-5");
@@ -103,8 +103,8 @@
 });
 
 /**
- * A booking ran; then the platform goes down and the caller repeats its key at another entry. Told "not run", the
- * family would book elsewhere and be charged twice.
+ * After a booking has run, the platform becomes unavailable, and the caller repeats the key at another entry. If that
+ * entry answered "not run", the caller would book elsewhere and be charged twice.
  */
 const repeatInOutage = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     const first = callers.book(entry(0), "family-6");
@@ -127,7 +127,7 @@
 });
 
 test("repeat after its refusal", async () => {
-    // Refused in an outage as not run, the same key must run once the platform is back.
+    // A key that was rejected as "not run" during an outage must run when it is repeated after the outage.
     const refused = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.platform.faults.down = true;
         await pass(2_000);
@@ -144,7 +144,7 @@
 });
 
 test("slow platform", async () => {
-    // Writes take effect seconds after their caller has given up. A claim that appears late must not block its key.
+    // Writes take effect seconds after the entry's timeout. A claim that is stored late must not block its key.
     const slow = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.platform.faults.slowMilliseconds = 4_000;
         const first = callers.book(entry(0), "family-9");
--- a/__tests__/configurationHolds.test.ts
+++ b/__tests__/configurationHolds.test.ts
@@ -1,15 +1,15 @@
-/** An accepted configuration is in force everywhere within seconds and never reverts. */
+/** An accepted change of the configuration is in force on all entries within seconds and is never reverted. */
 import { expect, test } from "vitest";
 import { ObjectKind } from "../src/internal.js";
 import { play, Scene } from "./support/scenario.js";
 
-const held = ({ world }: Scene, name: string): (number | undefined)[] =>
+const heldValues = ({ world }: Scene, name: string): (number | undefined)[] =>
     world.entries.map(entry => {
         const value = entry.node.configuration.object(ObjectKind.Profile, name)?.value;
         return (value as { shortPromptTokens: number; } | undefined)?.shortPromptTokens;
     });
 
-/** Operators at three entries change the same profile at once, while answers of the platform are lost. */
+/** Operators change the same profile at three entries at once, while responses of the platform are lost. */
 const racing = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.lostAnswers = 0.4;
@@ -20,14 +20,14 @@
     }
     world.platform.faults.lostAnswers = 0;
     await pass(2_000);
-    expect(new Set(held(scene, "raced")).size).toBe(1);
+    expect(new Set(heldValues(scene, "raced")).size).toBe(1);
 };
 
 test("racing operators and lost answers", async () => {
     expect(await play({}, racing)).toEqual([]);
 });
 
-/** The answer to a change is lost; another operator changes the object; a blind repeat would undo that. */
+/** The response to a change is lost, and another operator changes the object. An unconditional retry would revert that. */
 const lostAnswer = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.lostAnswers = 1;
@@ -37,14 +37,14 @@
     const second = callers.change(entry(1), "lost", 222);
     const [outcomes] = await Promise.all([Promise.all([first, second]), pass(3_000)]);
     expect(outcomes).toContain("Accepted");
-    expect(held(scene, "lost")).toEqual([222, 222, 222]);
+    expect(heldValues(scene, "lost")).toEqual([222, 222, 222]);
 };
 
 test("lost answer and a later change", async () => {
     expect(await play({}, lostAnswer)).toEqual([]);
 });
 
-/** Watches go silent while calls work. The change must still arrive, by the list. */
+/** Watches stall while other calls succeed, and peers are partitioned. The change must still arrive by the full list. */
 const silentWatch = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.silentWatches = true;
@@ -53,35 +53,35 @@
     await pass(500);
     void callers.change(entry(0), "watched", 333);
     await pass(12_000);
-    expect(held(scene, "watched")).toEqual([333, 333, 333]);
+    expect(heldValues(scene, "watched")).toEqual([333, 333, 333]);
 };
 
 test("silent watches and parted peers", async () => {
     expect(await play({}, silentWatch)).toEqual([]);
 });
 
-/** One entry is cut off from the platform. It must learn the change from its peers. */
+/** One entry can't reach the platform. It must receive the change from its peers. */
 const cutOff = async (scene: Scene): Promise<void> => {
     const { callers, pass, entry } = scene;
     entry(2).platformCut = true;
     await pass(2_000);
     void callers.change(entry(0), "cut", 444);
     await pass(2_000);
-    expect(held(scene, "cut")).toEqual([444, 444, 444]);
+    expect(heldValues(scene, "cut")).toEqual([444, 444, 444]);
 };
 
 test("entry cut off from the platform", async () => {
     expect(await play({}, cutOff)).toEqual([]);
 });
 
-/** The platform is restored from an old copy. What was accepted stays in force. */
+/** The platform is restored from a backup. Changes accepted after the backup must stay in force. */
 const restored = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     const before = world.platform.currentRevision;
     await Promise.all([callers.change(entry(0), "restored", 555), pass(2_000)]);
     world.platform.revertTo(before);
     await pass(15_000);
-    expect(held(scene, "restored")).toEqual([555, 555, 555]);
+    expect(heldValues(scene, "restored")).toEqual([555, 555, 555]);
 };
 
 test("platform comes back older", async () => {
@@ -98,7 +98,7 @@
     expect(await play({}, older)).toEqual([]);
 });
 
-/** A new entry starts while the platform is down. It learns from peers, and is not ready before. */
+/** An entry starts while the platform is unavailable. It becomes ready only when it has the configuration from a peer. */
 const startInOutage = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     await Promise.all([callers.change(entry(0), "early", 777), pass(2_000)]);
--- a/__tests__/stops.test.ts
+++ b/__tests__/stops.test.ts
@@ -1,9 +1,9 @@
-/** Planned stops cut nothing; what is out or leaving gets no new work. */
+/** Planned stops abort no request. Endpoints that are out of service or leaving get no new work. */
 import { expect, test } from "vitest";
 import { InstanceState } from "../src/internal.js";
 import { play, Scene } from "./support/scenario.js";
 
-const steady = async ({ callers, pass, world }: Scene, rounds: number): Promise<void> => {
+const sendSteadily = async ({ callers, pass, world }: Scene, rounds: number): Promise<void> => {
     for (let round = 0; round < rounds; round++) {
         for (const entry of world.entries) {
             if (entry.alive && !entry.stopped && !entry.gate.frozen) {
@@ -15,7 +15,7 @@
     }
 };
 
-/** An entry is told to stop under load. The balancer lags and goes on sending to it for a second. */
+/** An entry drains under load, while the load balancer continues to send requests to it for a second. */
 const plannedStop = async (scene: Scene): Promise<void> => {
     const { callers, pass, entry } = scene;
     const stopping = entry(0);
@@ -33,7 +33,7 @@
         callers.generate(stopping, { tokens: 100, answerTokens: 60 });
         await pass(200);
     }
-    await steady(scene, 20);
+    await sendSteadily(scene, 20);
     await pass(10_000);
     expect(drained).toBe(true);
     expect(callers.requests.every(request => request.end?.type === "Whole")).toBe(true);
@@ -44,7 +44,7 @@
 });
 
 test("planned stop in a platform outage", async () => {
-    // The platform can't be told. The stop must still end, and cut nothing.
+    // The stop can't be announced to the platform. The entry must still drain, and abort no request.
     const inOutage = async (scene: Scene): Promise<void> => {
         const { world, callers, pass, entry } = scene;
         world.platform.faults.down = true;
@@ -60,11 +60,11 @@
     expect(await play({}, inOutage)).toEqual([]);
 });
 
-/** Operators take a data centre out under load. Three seconds later nothing new may start there. */
+/** An operator takes a data centre out under load. Three seconds later no new work may start there. */
 const dataCentreOut = async (scene: Scene): Promise<void> => {
-    await steady(scene, 5);
+    await sendSteadily(scene, 5);
     void scene.callers.restrict(scene.entry(0), "out", "dataCentre", "north");
-    await steady(scene, 40);
+    await sendSteadily(scene, 40);
     expect(scene.callers.requests.every(request => request.end?.type === "Whole" || request.endedAt === undefined))
         .toBe(true);
 };
@@ -74,16 +74,16 @@
     expect((await play({}, dataCentreOut, "restrictions")).join()).toContain("after north went out");
 });
 
-/** The same incident takes the platform down. The order is given to one entry and must hold on all. */
+/** An operator takes a data centre out at one entry during a platform outage. The out must take effect on all entries. */
 const outInOutage = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.down = true;
     await pass(3_000);
     const told = callers.restrict(entry(1), "out", "dataCentre", "north");
-    await steady(scene, 30);
+    await sendSteadily(scene, 30);
     expect(await told).toBe("Provisional");
     world.platform.faults.down = false;
-    await steady(scene, 20);
+    await sendSteadily(scene, 20);
     const stored = world.platform.read("dataCentre" as never, "north");
     expect(stored?.value).toMatchObject({ state: "out" });
 };
@@ -94,14 +94,14 @@
         scene.world.platform.faults.down = true;
         await scene.pass(3_000);
         void scene.callers.restrict(scene.entry(1), "out", "dataCentre", "north");
-        await steady(scene, 60);
+        await sendSteadily(scene, 60);
     };
     expect((await play({}, spreads, "provisionalOuts")).join()).toContain("after north went out");
 });
 
 /**
- * An entry is paused while a data centre goes out, and wakes with requests in hand. Its endpoints answer it at once,
- * the platform and its peers only seconds later: it knows who is warm before it knows who is out.
+ * An entry is paused while a data centre is taken out, and resumes with queued requests. Its endpoints respond at once,
+ * but the platform and its peers only seconds later, so it knows which endpoints are warm before it knows which are out.
  */
 const pausedWhileOut = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
@@ -129,7 +129,7 @@
 });
 
 test("out and in again", async () => {
-    // Back in, the data centre gets work again, although its out had been spread as provisional.
+    // A data centre that is brought back in gets work again, although its out was sent to the peers as provisional.
     const outAndIn = async (scene: Scene): Promise<void> => {
         const { callers, pass, entry, world } = scene;
         await Promise.all([callers.restrict(entry(0), "out", "dataCentre", "north"), pass(2_000)]);
@@ -142,20 +142,20 @@
 });
 
 /**
- * The platform is slow: an order to bring a data centre in has been given up on and still takes effect, after a newer
- * order took the data centre out. The newer order must hold.
+ * The platform is slow, so an order to bring a data centre in takes effect after it has timed out, and after a later
+ * order has taken the data centre out. The later order must stay in force.
  */
 const lateIn = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     await Promise.all([callers.restrict(entry(0), "out", "dataCentre", "north"), pass(1_000)]);
     void callers.restrict(entry(0), "in", "dataCentre", "north");
-    // The order has read the object; its write meets the slow platform.
+    // The order has read the object already. Only its write is slow.
     world.platform.faults.slowMilliseconds = 3_000;
     await pass(1_500);
     void callers.restrict(entry(1), "out", "dataCentre", "north");
-    await steady(scene, 20);
+    await sendSteadily(scene, 20);
     world.platform.faults.slowMilliseconds = 0;
-    await steady(scene, 40);
+    await sendSteadily(scene, 40);
     expect(world.entries.every(each => each.node.restrictions.isOut("dataCentre", "north"))).toBe(true);
 };
 
@@ -164,15 +164,15 @@
 });
 
 test("endpoint leaving", async () => {
-    // An engine is on the list as leaving while its process still takes work: it must get none.
+    // An engine that the instance list shows as leaving must get no new work, although its process still accepts it.
     const leaving = async (scene: Scene): Promise<void> => {
         const { world } = scene;
         const engine = world.engines[0]!;
         engine.record.state = InstanceState.Leaving;
         world.platform.announce({ ...engine.record });
-        await steady(scene, 15);
+        await sendSteadily(scene, 15);
         const before = engine.starts.length;
-        await steady(scene, 20);
+        await sendSteadily(scene, 20);
         expect(engine.starts.length).toBe(before);
     };
     expect(await play({}, leaving)).toEqual([]);
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -411,7 +411,7 @@
 
     heartbeat(address: string, heartbeat: Heartbeat): Promise<Heartbeat> {
         return this.call(address, node => {
-            node.heardFrom(heartbeat);
+            node.applyHeartbeat(heartbeat);
             return node.heartbeat();
         });
     }
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -98,16 +98,16 @@
             endpoints: new EndpointClient(wire, clock),
             memory: parts.memory,
             policy: settings.placement.policy,
-            sharesLoads: settings.placement.shared,
+            publishesPlacements: settings.placement.shared,
             processors: instance.processors,
-            repeatLimits: () => {
+            retryLimits: () => {
                 const { share, windowSeconds, extra } = this.settings.repeats;
                 return { share, window: windowSeconds * 1_000, extra };
             },
             coldLimits: () => this.settings.cold,
-            known: () => this.knownRevisions(),
+            knownRevisions: () => this.knownRevisions(),
             readAges: () => this.readAges(),
-            reads: () => Object.values(this.followers).every(({ reads }) => reads),
+            isStoreReachable: () => Object.values(this.followers).every(({ reads }) => reads),
             stop: () => this.plannedStop,
         });
         const { peers, membership } = this.core;
--- a/src/adapters/operatorServer.ts
+++ b/src/adapters/operatorServer.ts
@@ -48,14 +48,14 @@
     dataCentre: node.identity.dataCentre,
     ready: node.ready,
     accepting: node.accepting,
-    platformDown: node.health.down,
+    platformDown: node.health.isDown,
     configurationRevision: node.configuration.revision,
     activeRequests: node.activeRequests,
     waitingRequests: node.placer.waiting(),
     provisionalOuts: node.restrictions.pending(),
     peers: node.membership.peers().map(peer => ({
         id: peer.record.id,
-        answers: node.membership.answers(peer),
+        answers: node.membership.isResponsive(peer),
         configurationRevision: peer.heartbeat?.configurationRevision ?? 0,
     })),
     endpoints: node.table.all().map(endpoint => ({
@@ -75,7 +75,7 @@
         active_requests: node.activeRequests,
         waiting_requests: node.placer.waiting(),
         configuration_revision: node.configuration.revision,
-        platform_down: node.health.down ? 1 : 0,
+        platform_down: node.health.isDown ? 1 : 0,
         engine_holdings: node.holdings.count,
     });
     response.writeHead(200, { "content-type": "text/plain; version=0.0.4" }).end(text);
--- a/src/adapters/peerServer.ts
+++ b/src/adapters/peerServer.ts
@@ -18,7 +18,7 @@
 const newServer = (node: EntryNode): JSONRPCServer => {
     const server = new JSONRPCServer();
     server.addMethod(PeerMethod.Heartbeat, ({ heartbeat }: { heartbeat: Heartbeat; }) => {
-        node.heardFrom(heartbeat);
+        node.applyHeartbeat(heartbeat);
         return node.heartbeat();
     });
     server.addMethod(
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -1,4 +1,7 @@
-/** At most once: a claim in the platform before the call, the answer in the claim after it. */
+/**
+ * At-most-once execution of service calls that carry an idempotency key. The entry stores a claim in the platform before
+ * it sends the call, and stores the response in that claim afterwards. Repeats of the key get the stored response.
+ */
 import {
     absentVersion,
     ClaimProgress,
@@ -30,44 +33,44 @@
     withTimeoutOrUndefined,
 } from "../internal.js";
 
-/** Bound on settling a claim before the call: past it the platform counts as down. */
-const settleMilliseconds = 2_000;
-const settleRetryMilliseconds = 50;
-/** Bound on keeping the answer before the caller gets it. */
-const keepMilliseconds = 1_000;
-const keepRetryMilliseconds = 250;
-const keepTries = 60;
-/** Time between two looks at a claim that another entry works on. */
-const pollMilliseconds = 100;
-/** Largest answer kept for repeats; the platform holds values up to a megabyte. */
-export const keptAnswerBytes = 256 * 1024;
-const platformRetrySeconds = 2;
-const releasedAtMost = 10_000;
-const seenAtMost = 50_000;
-/** A caller that repeats a request does so within this time. */
-const keyMemoryMilliseconds = 10 * 60_000;
-const collectMilliseconds = 30_000;
-const collectedAtOnce = 20;
-/** Claims are kept this long for repeats. */
+/** Time for creating a claim before the call. When it is over, the request is rejected as in a platform outage. */
+const createTimeoutMilliseconds = 2_000;
+const createRetryDelayMilliseconds = 50;
+/** How long the caller's response is delayed until it is stored; after that, storing continues in the background. */
+const keepTimeoutMilliseconds = 1_000;
+const keepRetryDelayMilliseconds = 250;
+const maximumKeepAttempts = 60;
+/** Interval at which a claim held by another entry is read again. */
+const pollIntervalMilliseconds = 100;
+/** Largest response body that is stored for repeats. The platform stores values of up to one megabyte. */
+export const maximumKeptAnswerBytes = 256 * 1024;
+const platformRetryAfterSeconds = 2;
+const maximumReleasedNonces = 10_000;
+const maximumSeenClaims = 50_000;
+/** Callers repeat a request within this time. After the loss of a process, key histories are incomplete for this long. */
+const keyReuseWindowMilliseconds = 10 * 60_000;
+const collectionIntervalMilliseconds = 30_000;
+const maximumRemovalsPerCollection = 20;
+/** Claims are stored for this long, so that repeats find them. */
 export const claimLifetimeMilliseconds = 24 * 3_600_000;
 
-/** What a claim's object says of the call. */
+/** State of the call, as stored in its claim. */
 export enum ClaimState {
     /** The call may be running. */
     Claimed = "claimed",
     Answered = "answered",
-    /** The call was sent and its outcome was lost. */
+    /** The call was sent, but its outcome is not known. */
     Lost = "lost",
 }
 
-/** An answer as it is kept. */
+/** A response as stored in a claim. */
 export interface KeptAnswer {
     status: number;
     contentType?: string;
     bodyBase64: string;
 }
 
-/** The stored claim. */
+/** A claim as stored in the platform. */
 export interface ClaimValue {
     nonce: string;
     holder: string;
@@ -75,7 +78,7 @@
     bodyFingerprint: string;
     state: ClaimState;
     answer?: KeptAnswer;
-    /** Wall time of the claim, for collecting old ones. */
+    /** Wall-clock time of the claim, by which expired claims are removed. */
     claimedAt: Milliseconds;
 }
 
@@ -86,13 +89,12 @@
     value: ClaimValue;
 }
 
-/** What claiming led to. */
+/** Result of {@link Claims.claim}. */
 export type ClaimOutcome =
     | { type: "Held"; claim: HeldClaim; }
     | { type: "Answered"; answer: ServiceResponse; };
 
-/** What claims work with. */
-export interface ClaimsParts {
+export interface ClaimsDependencies {
     clock: Clock;
     random: Random;
     platform: PlatformPort;
@@ -104,52 +106,53 @@
     self: { instance: string; incarnation: string; };
 }
 
-/** Name of the claim of a customer's key. */
+/** Name of the claim object for a customer's idempotency key. */
 export const claimName = (customer: string, key: string): string => fingerprint(customer, key);
 
-const platformDown = (execution: Execution): RequestFailure => {
+const platformDownFailure = (execution: Execution): RequestFailure => {
     const detail = execution === Execution.NotRun
-        ? "the platform can't record this request, so it was not run"
-        : "the platform can't say whether an earlier request with this key ran; this one was not run";
-    return new RequestFailure(FailureKind.PlatformDown, execution, detail, platformRetrySeconds);
+        ? "the platform is unavailable and can't store the claim of this request, so the request was not run"
+        : "the platform is unavailable; this request was not run, but an earlier one with this key may have run";
+    return new RequestFailure(FailureKind.PlatformDown, execution, detail, platformRetryAfterSeconds);
 };
 
-const outcomeUnknown = (detail: string): RequestFailure =>
-    new RequestFailure(FailureKind.OutcomeUnknown, Execution.Unknown, detail, platformRetrySeconds);
+const outcomeUnknownFailure = (detail: string): RequestFailure =>
+    new RequestFailure(FailureKind.OutcomeUnknown, Execution.Unknown, detail, platformRetryAfterSeconds);
 
 /**
- * Claims of calls that must not be repeated.
+ * Creates, checks and completes claims.
  *
- * The claim is created conditionally before the call is sent, so of two entries with the same key one loses. It is
- * never taken over unless its holder itself says that it gave it up: a holder that was paused may wake and send, and
- * a family would be charged twice. A claim whose holder died answers `unknown` for good.
+ * An entry creates the claim by a conditional write before it sends the call, so only one of several entries with the
+ * same key can send. Another entry takes a claim over only after the holder has confirmed that it released the claim.
+ * A timeout would not be safe: a paused holder could resume and send its call, and a booking would be charged twice.
+ * If the holder has died, the outcome of its claim stays `unknown`.
  */
 export class Claims {
-    /** Nonces of this entry's calls that are still being worked on. */
-    private readonly running = new Set<string>();
-    /** Nonces that this entry gave up before sending; a send must never follow. */
-    private readonly released = new Set<string>();
-    /** Names of claims that were seen to stand: their calls may have run. */
-    private readonly seen = new Set<string>();
+    /** Nonces of this entry's claims that are still in use. */
+    private readonly runningNonces = new Set<string>();
+    /** Nonces of claims that this entry released before sending. Their calls must never be sent. */
+    private readonly releasedNonces = new Set<string>();
+    /** Names of claims that this entry created or found in the platform. Their calls may have run. */
+    private readonly seenClaimNames = new Set<string>();
 
-    constructor(private readonly parts: ClaimsParts) {}
+    constructor(private readonly dependencies: ClaimsDependencies) {}
 
     /**
-     * Claims a key, waits for the holder of an earlier claim, or returns its kept answer.
+     * Claims a key. If the key has an earlier claim, waits for that claim's holder and returns its stored response.
      *
-     * Throws {@link RequestFailure}: 422 for another body, `not-run` while the platform is down, `unknown` where the
-     * earlier call's outcome can't be known.
+     * Throws {@link RequestFailure}: status 422 if the key was used with another body; execution `not-run` while the
+     * platform is unavailable; execution `unknown` if the earlier call's outcome can't be determined.
      */
     async claim(customer: string, key: string, bodyFingerprint: string, deadline: Deadline): Promise<ClaimOutcome> {
         const name = claimName(customer, key);
-        const value = this.newClaim(bodyFingerprint);
-        this.running.add(value.nonce);
+        const value = this.createValue(bodyFingerprint);
+        this.runningNonces.add(value.nonce);
         try {
             const outcome = await withTimeout(
-                this.parts.clock,
+                this.dependencies.clock,
                 deadline.remaining(),
-                "settling a claim",
-                () => this.settle(name, value, deadline),
+                "creating a claim",
+                () => this.createOrFindAnswer(name, value, deadline),
             );
             if (outcome.type === "Answered") {
                 this.release(value.nonce);
@@ -159,166 +162,178 @@
         catch (error) {
             this.release(value.nonce);
             if (error instanceof TimeLimitError) {
-                throw outcomeUnknown("the first call with this key has not ended, or the platform can't say");
+                throw outcomeUnknownFailure("timed out before the outcome of the first call with this key was known");
             }
             throw error;
         }
     }
 
-    /** Whether a held claim may still be sent. Ask in the same synchronous step as the send. */
+    /** Whether the call of a held claim may still be sent. Call this in the same synchronous step as the send. */
     maySend(claim: HeldClaim): boolean {
-        return !this.released.has(claim.value.nonce);
+        return !this.releasedNonces.has(claim.value.nonce);
     }
 
-    /** Gives a claim up before anything was sent, so that a repeat can run. */
+    /** Releases a claim whose call was not sent, so that a repeat can run. */
     async giveUp(claim: HeldClaim): Promise<void> {
         this.release(claim.value.nonce);
-        this.seen.delete(claim.name);
+        this.seenClaimNames.delete(claim.name);
         try {
-            await this.parts.platform.remove(ObjectKind.Claim, claim.name, claim.version);
+            await this.dependencies.platform.remove(ObjectKind.Claim, claim.name, claim.version);
         }
         catch (error) {
-            // A repeat finds the claim, asks this entry, and takes it over.
-            this.parts.log.warn("A claim could not be removed.", { reason: describeError(error) });
+            // A repeat that finds the claim asks this entry for its progress and takes the claim over.
+            this.dependencies.log.warn("A released claim could not be removed.", { reason: describeError(error) });
         }
     }
 
-    /** Keeps the answer for repeats; returns when it is kept or after a bound, and goes on in the background. */
+    /**
+     * Stores the response for repeats; an undefined `answer` marks the outcome as lost. Resolves once the claim is
+     * written or the timeout is over. Writing then continues in the background.
+     */
     async keep(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
-        const value: ClaimValue = { ...claim.value, ...this.outcomeOf(answer) };
-        const kept = this.writeOutcome(claim, value).finally(() => this.running.delete(claim.value.nonce));
-        await withTimeoutOrUndefined(this.parts.clock, keepMilliseconds, "keeping an answer", () => kept);
+        const value: ClaimValue = { ...claim.value, ...this.encodeOutcome(answer) };
+        const written = this.writeOutcome(claim, value).finally(() => this.runningNonces.delete(claim.value.nonce));
+        await withTimeoutOrUndefined(
+            this.dependencies.clock,
+            keepTimeoutMilliseconds,
+            "storing a response",
+            () => written,
+        );
     }
 
-    /** Answers a peer that found a claim of this entry. */
+    /** Progress of a claim of this entry, for a peer that found the claim. */
     progress(nonce: string): ClaimProgress {
-        if (this.running.has(nonce)) {
+        if (this.runningNonces.has(nonce)) {
             return ClaimProgress.Running;
         }
-        return this.released.has(nonce) ? ClaimProgress.Released : ClaimProgress.Unknown;
+        return this.releasedNonces.has(nonce) ? ClaimProgress.Released : ClaimProgress.Unknown;
     }
 
     /**
-     * What this entry remembers of a key.
+     * Whether this entry has seen a claim of the key.
      *
-     * In an outage a repeat looks like a first request. Refusing it as "not run" while the first one ran would have
-     * the family book elsewhere and be charged twice, so the entries ask one another first.
+     * During a platform outage an entry can't tell a repeat from a first request. If it rejected a repeat as "not run"
+     * although the first request had run, the caller would book elsewhere and be charged twice. An entry therefore
+     * asks its peers for their history of the key before it answers "not run".
      */
     keyHistory(name: string): KeyHistory {
-        if (this.seen.has(name)) {
+        if (this.seenClaimNames.has(name)) {
             return KeyHistory.Seen;
         }
-        const sinceLoss = this.parts.clock.now() - this.parts.membership.lastPeerLoss;
-        return sinceLoss < keyMemoryMilliseconds ? KeyHistory.Incomplete : KeyHistory.NotSeen;
+        const sinceLoss = this.dependencies.clock.now() - this.dependencies.membership.lastPeerLoss;
+        return sinceLoss < keyReuseWindowMilliseconds ? KeyHistory.Incomplete : KeyHistory.NotSeen;
     }
 
-    /** Removes claims that are too old to be repeated, until `signal` aborts. One entry at a time does it. */
-    async collect(signal: AbortSignal): Promise<void> {
+    /** Removes expired claims periodically until `signal` aborts. One entry, chosen by rendezvous hashing, does this. */
+    async collectExpired(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.parts.clock.sleep(collectMilliseconds, signal);
-            const entries = this.parts.membership.answeringEntries();
-            if (!signal.aborted && rendezvous("claims", entries) === this.parts.self.instance) {
-                await this.collectOnce();
+            await this.dependencies.clock.sleep(collectionIntervalMilliseconds, signal);
+            const entries = this.dependencies.membership.responsiveEntries();
+            if (!signal.aborted && rendezvous("claims", entries) === this.dependencies.self.instance) {
+                await this.removeExpired();
             }
         }
     }
 
-    /** Calls that are being worked on. */
-    get count(): number {
-        return this.running.size;
+    /** Number of this entry's claims that are in use. */
+    get runningCount(): number {
+        return this.runningNonces.size;
     }
 
-    private newClaim(bodyFingerprint: string): ClaimValue {
+    private createValue(bodyFingerprint: string): ClaimValue {
         return {
-            nonce: randomIdentifier(this.parts.random),
-            holder: this.parts.self.instance,
-            holderIncarnation: this.parts.self.incarnation,
+            nonce: randomIdentifier(this.dependencies.random),
+            holder: this.dependencies.self.instance,
+            holderIncarnation: this.dependencies.self.incarnation,
             bodyFingerprint,
             state: ClaimState.Claimed,
-            claimedAt: this.parts.clock.wallTime(),
+            claimedAt: this.dependencies.clock.wallTime(),
         };
     }
 
-    private async collectOnce(): Promise<void> {
+    private async removeExpired(): Promise<void> {
         try {
-            const { objects } = await this.parts.platform.list([ObjectKind.Claim]);
-            const oldest = this.parts.clock.wallTime() - claimLifetimeMilliseconds;
-            const old = objects.filter(object => (object.value as ClaimValue).claimedAt < oldest);
-            for (const object of old.slice(0, collectedAtOnce)) {
-                await this.parts.platform.remove(ObjectKind.Claim, object.name, object.version);
+            const { objects } = await this.dependencies.platform.list([ObjectKind.Claim]);
+            const expiredBefore = this.dependencies.clock.wallTime() - claimLifetimeMilliseconds;
+            const expired = objects.filter(object => (object.value as ClaimValue).claimedAt < expiredBefore);
+            for (const object of expired.slice(0, maximumRemovalsPerCollection)) {
+                await this.dependencies.platform.remove(ObjectKind.Claim, object.name, object.version);
             }
         }
         catch (error) {
-            this.parts.log.warn("Old claims were not collected.", { reason: describeError(error) });
+            this.dependencies.log.warn("Expired claims could not be removed.", { reason: describeError(error) });
         }
     }
 
-    private remember(name: string): void {
-        this.seen.add(name);
-        if (this.seen.size > seenAtMost) {
-            this.seen.delete(this.seen.values().next().value!);
+    private recordSeen(name: string): void {
+        this.seenClaimNames.add(name);
+        if (this.seenClaimNames.size > maximumSeenClaims) {
+            this.seenClaimNames.delete(this.seenClaimNames.values().next().value!);
         }
     }
 
-    /** The refusal of a request whose claim the platform doesn't take. */
+    /** Builds the failure of a request whose claim can't be written. */
     private async refuseInOutage(name: string): Promise<RequestFailure> {
-        const histories = this.parts.membership.peers().map(async peer => {
+        const histories = this.dependencies.membership.peers().map(async peer => {
             try {
-                return await this.parts.peers.keyHistory(peer.record.address, name);
+                return await this.dependencies.peers.keyHistory(peer.record.address, name);
             }
             catch {
                 return KeyHistory.Incomplete;
             }
         });
-        const all = [this.keyHistory(name), ...await Promise.all(histories)];
-        const unused = all.every(history => history === KeyHistory.NotSeen);
-        return platformDown(unused ? Execution.NotRun : Execution.Unknown);
+        const allHistories = [this.keyHistory(name), ...await Promise.all(histories)];
+        const neverSeen = allHistories.every(history => history === KeyHistory.NotSeen);
+        return platformDownFailure(neverSeen ? Execution.NotRun : Execution.Unknown);
     }
 
     private release(nonce: string): void {
-        this.running.delete(nonce);
-        this.released.add(nonce);
-        if (this.released.size > releasedAtMost) {
-            // A forgotten nonce is answered as unknown, which is safe.
-            this.released.delete(this.released.values().next().value!);
+        this.runningNonces.delete(nonce);
+        this.releasedNonces.add(nonce);
+        if (this.releasedNonces.size > maximumReleasedNonces) {
+            // For a nonce that was dropped here, `progress` returns Unknown. This is safe: the claim isn't taken over.
+            this.releasedNonces.delete(this.releasedNonces.values().next().value!);
         }
     }
 
-    private async settle(name: string, value: ClaimValue, deadline: Deadline): Promise<ClaimOutcome> {
+    private async createOrFindAnswer(name: string, value: ClaimValue, deadline: Deadline): Promise<ClaimOutcome> {
         let expectedVersion = absentVersion;
         while (true) {
-            const existing = await this.create(name, value, expectedVersion, deadline);
-            if (existing.type === "Held") {
-                return existing;
+            const created = await this.createOrFindClaim(name, value, expectedVersion, deadline);
+            if (created.type === "Held") {
+                return created;
             }
-            const verdict = await this.judge(existing.current, value, deadline);
-            if (verdict.type === "Answered") {
-                return verdict;
+            const earlierClaim = await this.waitForHolder(created.current, value, deadline);
+            if (earlierClaim.type === "Answered") {
+                return earlierClaim;
             }
-            expectedVersion = verdict.takeOverVersion;
+            expectedVersion = earlierClaim.takeOverVersion;
         }
     }
 
-    /** Creates the claim, or finds the one that stands; a lost answer is settled by reading the nonce back. */
-    private async create(
+    /**
+     * Creates the claim or returns the existing one. If the response to a write was lost, the nonce in the stored claim
+     * shows whether the write succeeded.
+     */
+    private async createOrFindClaim(
         name: string,
         value: ClaimValue,
         expectedVersion: number,
         deadline: Deadline,
     ): Promise<{ type: "Held"; claim: HeldClaim; } | { type: "Exists"; current: StoredObject | undefined; }> {
-        // In a known outage one try is enough: the caller is better told at once.
-        const settle = this.parts.health.down ? 0 : settleMilliseconds;
-        const until = this.parts.clock.now() + deadline.bounded(settle);
+        // During a known outage the entry tries once only, so that the caller gets the failure without delay.
+        const timeout = this.dependencies.health.isDown ? 0 : createTimeoutMilliseconds;
+        const retryUntil = this.dependencies.clock.now() + deadline.bounded(timeout);
         while (true) {
             try {
-                const outcome = await this.parts.platform.write(ObjectKind.Claim, name, expectedVersion, value);
+                const outcome = await this.dependencies.platform.write(ObjectKind.Claim, name, expectedVersion, value);
                 if (outcome.type === "Written") {
-                    this.remember(name);
+                    this.recordSeen(name);
                     return { type: "Held", claim: { name, version: outcome.version, value } };
                 }
                 const current = outcome.current;
                 if (current) {
-                    this.remember(name);
+                    this.recordSeen(name);
                 }
                 if (current && (current.value as ClaimValue | undefined)?.nonce === value.nonce) {
                     return { type: "Held", claim: { name, version: current.version, value } };
@@ -329,78 +344,86 @@
                 if (!(error instanceof PlatformError)) {
                     throw error;
                 }
-                this.parts.timeline.record("claims", "write-failed", undefined, describeError(error));
+                this.dependencies.timeline.record("claims", "write-failed", undefined, describeError(error));
             }
-            // Writing again on the same condition is the reading back: it conflicts with its own lost write.
-            if (this.parts.clock.now() >= until) {
+            // The next write has the same expected version. If the lost write succeeded, the next one conflicts with it
+            // and returns the stored claim.
+            if (this.dependencies.clock.now() >= retryUntil) {
                 throw await this.refuseInOutage(name);
             }
-            await this.parts.clock.sleep(settleRetryMilliseconds);
+            await this.dependencies.clock.sleep(createRetryDelayMilliseconds);
         }
     }
 
-    /** Waits on a claim that stands until it is answered, can be taken over, or is known to be lost. */
-    private async judge(
-        found: StoredObject | undefined,
-        own: ClaimValue,
+    /** Polls an existing claim until its response is stored, it can be taken over, or its outcome is known to be lost. */
+    private async waitForHolder(
+        existing: StoredObject | undefined,
+        ownValue: ClaimValue,
         deadline: Deadline,
     ): Promise<{ type: "Answered"; answer: ServiceResponse; } | { type: "TakeOver"; takeOverVersion: number; }> {
-        let current = found;
+        let current = existing;
         while (true) {
             const value = current?.value as ClaimValue | undefined;
             if (!current || !value) {
                 return { type: "TakeOver", takeOverVersion: current?.version ?? absentVersion };
             }
-            if (value.bodyFingerprint !== own.bodyFingerprint) {
-                const detail = "Idempotency-Key was used before with another request";
+            if (value.bodyFingerprint !== ownValue.bodyFingerprint) {
+                const detail = "Idempotency-Key was already used with a different request";
                 throw new RequestFailure(FailureKind.KeyReused, Execution.NotRun, detail);
             }
             if (value.state === ClaimState.Answered) {
-                return { type: "Answered", answer: this.keptAnswer(value) };
+                return { type: "Answered", answer: this.decodeAnswer(value) };
             }
             if (value.state === ClaimState.Lost) {
-                throw outcomeUnknown("the first call with this key was sent and its answer was lost");
+                throw outcomeUnknownFailure("the first call with this key was sent, but its response was lost");
             }
             if (await this.holderProgress(value, current.name) === ClaimProgress.Released) {
                 return { type: "TakeOver", takeOverVersion: current.version };
             }
             if (deadline.expired) {
-                throw outcomeUnknown("the first call with this key has not ended yet");
+                throw outcomeUnknownFailure("the first call with this key is still running");
             }
-            await this.parts.clock.sleep(deadline.bounded(pollMilliseconds));
-            current = await this.readAgain(current, deadline);
+            await this.dependencies.clock.sleep(deadline.bounded(pollIntervalMilliseconds));
+            current = await this.reread(current, deadline);
         }
     }
 
-    private async readAgain(current: StoredObject, deadline: Deadline): Promise<StoredObject | undefined> {
+    private async reread(current: StoredObject, deadline: Deadline): Promise<StoredObject | undefined> {
         try {
-            return await this.parts.platform.read(ObjectKind.Claim, current.name);
+            return await this.dependencies.platform.read(ObjectKind.Claim, current.name);
         }
         catch (error) {
             if (!(error instanceof PlatformError)) {
                 throw error;
             }
             if (deadline.expired) {
-                throw outcomeUnknown("the platform can't say what became of the first call with this key");
+                throw outcomeUnknownFailure(
+                    "the platform is unavailable, so the state of the first call with this key can't be read",
+                );
             }
             return current;
         }
     }
 
-    /** What the holder says of its claim. Throws `unknown` when it is dead and can never say. */
+    /** Asks the holder for its claim's progress. Throws a failure with execution `unknown` if the holder has died. */
     private async holderProgress(value: ClaimValue, name: string): Promise<ClaimProgress> {
-        if (value.holder === this.parts.self.instance && value.holderIncarnation === this.parts.self.incarnation) {
+        if (
+            value.holder === this.dependencies.self.instance
+            && value.holderIncarnation === this.dependencies.self.incarnation
+        ) {
             return this.progress(value.nonce);
         }
-        const peer = this.parts.membership.peer(value.holder);
-        const replaced = peer?.heartbeat && peer.heartbeat.incarnation !== value.holderIncarnation;
-        if (!peer || replaced) {
-            throw outcomeUnknown("the entry that held the first call with this key died; it may have run");
+        const peer = this.dependencies.membership.peer(value.holder);
+        const restarted = peer?.heartbeat && peer.heartbeat.incarnation !== value.holderIncarnation;
+        if (!peer || restarted) {
+            throw outcomeUnknownFailure("the entry that claimed this key first has died; its call may have run");
         }
         try {
-            const progress = await this.parts.peers.claimProgress(peer.record.address, name, value.nonce);
+            const progress = await this.dependencies.peers.claimProgress(peer.record.address, name, value.nonce);
             if (progress === ClaimProgress.Unknown) {
-                throw outcomeUnknown("the entry that held the first call with this key no longer knows of it");
+                throw outcomeUnknownFailure(
+                    "the entry that claimed this key first has no record of the claim; its call may have run",
+                );
             }
             return progress;
         }
@@ -412,10 +435,10 @@
         }
     }
 
-    private keptAnswer(value: ClaimValue): ServiceResponse {
+    private decodeAnswer(value: ClaimValue): ServiceResponse {
         const { answer } = value;
         if (!answer) {
-            const detail = "the first call with this key ran; its answer was too large to be kept";
+            const detail = "the first call with this key ran, but its response was too large to be stored";
             throw new RequestFailure(FailureKind.AnswerNotKept, Execution.Ran, detail);
         }
         return {
@@ -425,11 +448,11 @@
         };
     }
 
-    private outcomeOf(answer: ServiceResponse | undefined): Pick<ClaimValue, "state" | "answer"> {
+    private encodeOutcome(answer: ServiceResponse | undefined): Pick<ClaimValue, "state" | "answer"> {
         if (!answer) {
             return { state: ClaimState.Lost };
         }
-        if (answer.body.length > keptAnswerBytes) {
+        if (answer.body.length > maximumKeptAnswerBytes) {
             return { state: ClaimState.Answered };
         }
         const { status, contentType } = answer;
@@ -440,19 +463,22 @@
     }
 
     private async writeOutcome(claim: HeldClaim, value: ClaimValue): Promise<void> {
-        for (let attempt = 0; attempt < keepTries; attempt++) {
+        for (let attempt = 0; attempt < maximumKeepAttempts; attempt++) {
             try {
-                // A conflict can only be this write's own lost answer: nobody takes over a claim that is running.
-                await this.parts.platform.write(ObjectKind.Claim, claim.name, claim.version, value);
+                // A conflict means that an earlier attempt of this write succeeded and its response was lost: no other
+                // entry takes over a claim that is in use. The outcome of the write is therefore not checked.
+                await this.dependencies.platform.write(ObjectKind.Claim, claim.name, claim.version, value);
                 return;
             }
             catch (error) {
                 if (!(error instanceof PlatformError)) {
                     throw error;
                 }
-                await this.parts.clock.sleep(keepRetryMilliseconds);
+                await this.dependencies.clock.sleep(keepRetryDelayMilliseconds);
             }
         }
-        this.parts.log.error("An answer could not be kept. Repeats of its key get no answer.", { claim: claim.name });
+        this.dependencies.log.error("A response could not be stored. Repeats of its key will not get it.", {
+            claim: claim.name,
+        });
     }
 }
--- a/src/core/coldStart.ts
+++ b/src/core/coldStart.ts
@@ -8,8 +8,8 @@
     PeerLostError,
     PeerPort,
     PermitDecision,
+    permitLifetimeMilliseconds,
     PermitRequest,
-    permitSendMilliseconds,
     Profile,
 } from "../internal.js";
 
@@ -132,7 +132,7 @@
     private newPermit(endpoint: Endpoint, home: string, permitId: string, suspect: boolean): Permit {
         const now = this.parts.clock.now();
         const cold = endpoint.trust(now).type !== "Warm";
-        return { permitId, endpoint: endpoint.id, suspect, cold, home, sendBefore: now + permitSendMilliseconds };
+        return { permitId, endpoint: endpoint.id, suspect, cold, home, sendBefore: now + permitLifetimeMilliseconds };
     }
 
     private requestOf({ endpoint, permitId, suspect, cold }: Permit): PermitRequest {
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -1,4 +1,7 @@
-/** The configuration an entry holds: a join of (object, version) pairs that only moves forward. */
+/**
+ * The configuration that an entry holds. It merges objects from the platform and from peers by version; the version of
+ * an object never decreases.
+ */
 import {
     ChangeSignal,
     Customer,
@@ -14,19 +17,19 @@
     StoredObject,
 } from "../internal.js";
 
-/** What became of a full list from the platform. */
+/** Result of merging a full list from the platform. */
 export type ListOutcome =
     | { type: "Merged"; }
-    /** The platform's revision is lower than what is in force: it lost writes and is not followed. */
+    /** The list's revision is lower than the one held: the platform lost writes, and the list was ignored. */
     | { type: "Reverted"; platformRevision: number; heldRevision: number; };
 
-const keyOf = (kind: ObjectKind, name: string): string => `${kind}/${name}`;
+const objectKey = (kind: ObjectKind, name: string): string => `${kind}/${name}`;
 
 /**
- * Holds every configuration object at the highest version seen, from the platform or from a peer.
+ * Holds each configuration object at the highest version received from the platform or a peer.
  *
- * A slow watch, a late peer or a restored platform can offer old versions again. An operator would notice a
- * change that was accepted and later undone by itself. Taking only higher versions makes that impossible.
+ * A slow watch, a stale peer or a platform restored from a backup can deliver old versions, which would revert a change
+ * that an operator was told is accepted. Applying only higher versions prevents this.
  */
 export class Configuration {
     /** Notified after each change. */
@@ -34,22 +37,22 @@
     private readonly objects = new Map<string, StoredObject>();
     private readonly customersByKeyHash = new Map<string, string>();
     private heldRevision = 0;
-    private complete = false;
+    private isComplete = false;
 
-    /** `rejected` hears of stored objects that break their schema; the version before stays in force. */
-    constructor(private readonly rejected: (object: StoredObject, reason: string) => void = () => {}) {}
+    /** `onRejected` is called for stored objects that violate their schema. Their previous version stays in force. */
+    constructor(private readonly onRejected: (object: StoredObject, reason: string) => void = () => {}) {}
 
-    /** Every change up to this revision of the platform is held. */
+    /** The platform's revision up to which this configuration has all changes. */
     get revision(): number {
         return this.heldRevision;
     }
 
-    /** Whether a whole configuration was ever learned, from the platform or a peer. */
+    /** Whether this entry has received a complete configuration, from the platform or a peer. */
     get loaded(): boolean {
-        return this.complete;
+        return this.isComplete;
     }
 
-    /** Takes the newer objects of a page of changes that follows `revision`. */
+    /** Applies the objects of a page whose version is higher than the one held. */
     merge(page: ObjectPage): void {
         let changes = 0;
         for (const object of page.objects) {
@@ -63,47 +66,47 @@
         }
     }
 
-    /** Takes a full list: what it lacks was removed. */
+    /** Applies a full list. Objects that are missing from the list count as removed. */
     mergeList(page: ObjectPage): ListOutcome {
         if (page.revision < this.heldRevision) {
             return { type: "Reverted", platformRevision: page.revision, heldRevision: this.heldRevision };
         }
-        const listed = new Set(page.objects.map(object => keyOf(object.kind, object.name)));
+        const listed = new Set(page.objects.map(object => objectKey(object.kind, object.name)));
         const removed: StoredObject[] = [];
         for (const [key, object] of this.objects) {
             if (!listed.has(key) && object.value !== undefined) {
                 removed.push({ ...object, version: page.revision, value: undefined });
             }
         }
-        this.complete = true;
+        this.isComplete = true;
         this.merge({ revision: page.revision, objects: [...page.objects, ...removed] });
         return { type: "Merged" };
     }
 
-    /** Takes what a peer holds beyond `revision`; a loaded peer's answer is whole. */
+    /** Applies a peer's changes. With those of a peer that is loaded, this configuration is complete. */
     mergePeer(page: ObjectPage, peerLoaded: boolean): void {
-        this.complete ||= peerLoaded;
+        this.isComplete ||= peerLoaded;
         this.merge(page);
     }
 
-    /** Objects, removed ones included, that are newer than `revision`. */
-    since(revision: number): ObjectPage {
+    /** Objects, including removed ones, with a version higher than `revision`. */
+    changesSince(revision: number): ObjectPage {
         const objects = [...this.objects.values()].filter(object => object.version > revision);
         return { revision: this.heldRevision, objects };
     }
 
-    /** The stored object, or undefined where there is none or it was removed. */
+    /** The object, or undefined if it doesn't exist or was removed. */
     object(kind: ObjectKind, name: string): StoredObject | undefined {
-        const object = this.objects.get(keyOf(kind, name));
+        const object = this.objects.get(objectKey(kind, name));
         return object?.value === undefined ? undefined : object;
     }
 
-    /** Version of an object's last change, removal included; 0 where none was seen. */
+    /** Version of the object's last change, including its removal; 0 if the object is unknown. */
     version(kind: ObjectKind, name: string): number {
-        return this.objects.get(keyOf(kind, name))?.version ?? 0;
+        return this.objects.get(objectKey(kind, name))?.version ?? 0;
     }
 
-    /** All objects of a kind. */
+    /** All objects of a kind, without removed ones. */
     all(kind: ObjectKind): StoredObject[] {
         return [...this.objects.values()].filter(object => object.kind === kind && object.value !== undefined);
     }
@@ -112,7 +115,7 @@
         return this.object(ObjectKind.Service, name)?.value as Service | undefined;
     }
 
-    /** The profile a service runs under; a missing one falls back to the defaults. */
+    /** The service's profile, or the default profile if there is none. */
     profileOf(service: Service | undefined): Profile {
         const object = service && this.object(ObjectKind.Profile, service.profile);
         return (object?.value as Profile | undefined) ?? defaultProfile;
@@ -122,7 +125,7 @@
         return this.object(ObjectKind.Customer, name)?.value as Customer | undefined;
     }
 
-    /** Name of the customer that a key belongs to. */
+    /** Name of the customer whose key has this hash. */
     customerByKeyHash(keyHash: string): string | undefined {
         return this.customersByKeyHash.get(keyHash);
     }
@@ -133,24 +136,31 @@
     }
 
     private take(object: StoredObject): boolean {
-        const key = keyOf(object.kind, object.name);
+        const key = objectKey(object.kind, object.name);
         const held = this.objects.get(key);
         if (held && held.version >= object.version) {
             return false;
         }
-        const checked = this.check(object);
-        if (!checked) {
+        const validated = this.validate(object);
+        if (!validated) {
             return false;
         }
-        this.objects.set(key, checked);
+        this.objects.set(key, validated);
         if (object.kind === ObjectKind.Customer) {
-            this.indexCustomer(object.name, held?.value as Customer | undefined, checked.value as Customer | undefined);
+            this.indexCustomer(
+                object.name,
+                held?.value as Customer | undefined,
+                validated.value as Customer | undefined,
+            );
         }
         return true;
     }
 
-    /** Fills in defaults: an object may have been written by other means, or before a field was added. */
-    private check(object: StoredObject): StoredObject | undefined {
+    /**
+     * Validates an object and fills in default values: an object may have been written by another program, or before a
+     * field was added. Returns undefined for an invalid object.
+     */
+    private validate(object: StoredObject): StoredObject | undefined {
         if (object.value === undefined) {
             return object;
         }
@@ -158,7 +168,7 @@
             return { ...object, value: parseConfigurationObject(object.kind, object.name, object.value) };
         }
         catch (error) {
-            this.rejected(object, describeError(error));
+            this.onRejected(object, describeError(error));
             return undefined;
         }
     }
--- a/src/core/configurationReader.ts
+++ b/src/core/configurationReader.ts
@@ -1,4 +1,7 @@
-/** Keeps the configuration current: a watch, and a full list on a timer. */
+/**
+ * Keeps the configuration up to date with the platform, by a watch and by full lists at an interval. The lists bound how
+ * long an entry can miss a change when its watch has stalled.
+ */
 import {
     Clock,
     Configuration,
@@ -13,15 +16,14 @@
 } from "../internal.js";
 
 /**
- * Time between full lists. A watch can go silent for good while new calls work; an operator would notice a change
- * that one entry never follows. The list bounds that to this time plus one call.
+ * Interval between full lists. A watch can stall permanently while new calls succeed, and the entry would then never
+ * apply an operator's change. With the list, the delay is at most this interval plus the duration of one call.
  */
-export const relistMilliseconds = 8_000;
-const retryBaseMilliseconds = 100;
-const retryCeilingMilliseconds = 2_000;
+export const relistIntervalMilliseconds = 8_000;
+const retryBaseDelayMilliseconds = 100;
+const maximumRetryDelayMilliseconds = 2_000;
 
-/** What the reader works with. */
-export interface ConfigurationReaderParts {
+export interface ConfigurationReaderDependencies {
     clock: Clock;
     random: Random;
     platform: PlatformPort;
@@ -31,67 +33,82 @@
     timeline: Timeline;
 }
 
-const pause = (parts: ConfigurationReaderParts, failures: number, signal: AbortSignal): Promise<void> => {
-    const wait = retryBaseMilliseconds
-        + fullJitter(parts.random, retryBaseMilliseconds, failures, retryCeilingMilliseconds);
-    return parts.clock.sleep(wait, signal);
+const delayRetry = (
+    dependencies: ConfigurationReaderDependencies,
+    failures: number,
+    signal: AbortSignal,
+): Promise<void> => {
+    const wait = retryBaseDelayMilliseconds
+        + fullJitter(dependencies.random, retryBaseDelayMilliseconds, failures, maximumRetryDelayMilliseconds);
+    return dependencies.clock.sleep(wait, signal);
 };
 
-/** Lists everything once. Throws PlatformError. */
-export const listConfiguration = async (parts: ConfigurationReaderParts): Promise<void> => {
-    const page = await parts.health.watch(parts.platform.list(configurationKinds));
-    const outcome = parts.configuration.mergeList(page);
+/** Lists and merges the whole configuration once. Throws PlatformError. */
+export const listConfiguration = async (dependencies: ConfigurationReaderDependencies): Promise<void> => {
+    const page = await dependencies.health.track(dependencies.platform.list(configurationKinds));
+    const outcome = dependencies.configuration.mergeList(page);
     if (outcome.type === "Reverted") {
         const { platformRevision, heldRevision } = outcome;
-        parts.log.error("The platform came back with an older revision. It is not followed.", {
+        dependencies.log.error("The platform's revision is lower than the one held. The list is ignored.", {
             platformRevision,
             heldRevision,
         });
-        parts.timeline.record("configuration", "platform-reverted", undefined, `${platformRevision} < ${heldRevision}`);
+        dependencies.timeline.record(
+            "configuration",
+            "platform-reverted",
+            undefined,
+            `${platformRevision} < ${heldRevision}`,
+        );
     }
 };
 
-/** Follows the platform's changes until `signal` aborts. */
-export const watchConfiguration = async (parts: ConfigurationReaderParts, signal: AbortSignal): Promise<void> => {
+/** Applies changes from the platform's watch until `signal` aborts. Waits until a whole configuration is loaded. */
+export const watchConfiguration = async (
+    dependencies: ConfigurationReaderDependencies,
+    signal: AbortSignal,
+): Promise<void> => {
     let failures = 0;
     while (!signal.aborted) {
-        if (!parts.configuration.loaded) {
-            await pause(parts, 0, signal);
+        if (!dependencies.configuration.loaded) {
+            await delayRetry(dependencies, 0, signal);
             continue;
         }
-        const before = parts.configuration.revision;
+        const heldRevision = dependencies.configuration.revision;
         try {
-            const page = await parts.platform.watch(configurationKinds, before, signal);
+            const page = await dependencies.platform.watch(configurationKinds, heldRevision, signal);
             failures = 0;
-            // A watch that answers from a store with lost writes must not bring them back under old numbers.
-            if (page.revision >= before) {
-                parts.configuration.merge(page);
+            // A store that lost writes reuses their version numbers for other values, so its pages are ignored.
+            if (page.revision >= heldRevision) {
+                dependencies.configuration.merge(page);
             }
             if (page.objects.length > 0) {
-                parts.timeline.record("configuration", "changed", undefined, `revision ${page.revision}`);
+                dependencies.timeline.record("configuration", "changed", undefined, `revision ${page.revision}`);
             }
         }
         catch (error) {
             failures++;
-            parts.log.warn("The watch failed.", { reason: describeError(error) });
-            await pause(parts, failures, signal);
+            dependencies.log.warn("Watching the configuration failed.", { reason: describeError(error) });
+            await delayRetry(dependencies, failures, signal);
         }
     }
 };
 
-/** Lists everything at start and on a timer until `signal` aborts. */
-export const relistConfiguration = async (parts: ConfigurationReaderParts, signal: AbortSignal): Promise<void> => {
+/** Lists the whole configuration at start and then at an interval, until `signal` aborts. */
+export const relistConfiguration = async (
+    dependencies: ConfigurationReaderDependencies,
+    signal: AbortSignal,
+): Promise<void> => {
     let failures = 0;
     while (!signal.aborted) {
         try {
-            await listConfiguration(parts);
+            await listConfiguration(dependencies);
             failures = 0;
-            await parts.clock.sleep(relistMilliseconds, signal);
+            await dependencies.clock.sleep(relistIntervalMilliseconds, signal);
         }
         catch (error) {
             failures++;
-            parts.log.warn("The list failed.", { reason: describeError(error) });
-            await pause(parts, failures, signal);
+            dependencies.log.warn("Listing the configuration failed.", { reason: describeError(error) });
+            await delayRetry(dependencies, failures, signal);
         }
     }
 };
--- a/src/core/deadline.ts
+++ b/src/core/deadline.ts
@@ -1,7 +1,7 @@
-/** One deadline for each request, set at admission and carried to every wait. */
+/** The deadline of a request. It is set at admission and bounds every later wait of the request. */
 import { Clock, Milliseconds } from "../internal.js";
 
-/** The moment by which a request must have ended, on this process's monotonic clock. */
+/** The time by which a request must have ended, on this process's monotonic clock. */
 export class Deadline {
     readonly at: Milliseconds;
 
@@ -9,7 +9,7 @@
         this.at = clock.now() + timeout;
     }
 
-    /** Milliseconds left; 0 once it has passed. */
+    /** Time until the deadline; 0 once it has expired. */
     remaining(): Milliseconds {
         return Math.max(0, this.at - this.clock.now());
     }
@@ -18,7 +18,7 @@
         return this.clock.now() >= this.at;
     }
 
-    /** The shorter of the time left and `limit`. */
+    /** `limit`, or the remaining time if that is shorter. */
     bounded(limit: Milliseconds): Milliseconds {
         return Math.min(limit, this.remaining());
     }
--- a/src/core/entryCore.ts
+++ b/src/core/entryCore.ts
@@ -1,4 +1,7 @@
-/** The decisions of an entry, wired together; sockets, the store and time come from outside. */
+/**
+ * Creates and connects the components of an entry that decide on requests: configuration, membership, placement, budgets
+ * and forwarding. Sockets, the store and the clock are passed in, so that a replay can run the same code in simulated time.
+ */
 import type { EndpointPort } from "../ports/forwardingPorts.js";
 import type { MemoryPort } from "../ports/memoryPort.js";
 import type { KnownRevisions, PeerChannelPort, PeerIdentity, ReadAges } from "../ports/peerChannelPort.js";
@@ -23,8 +26,7 @@
 import { PlacementServer } from "./placement/placementServer.js";
 import { SharedLoadEstimator } from "./placement/sharedLoadEstimator.js";
 
-/** What the decisions need. */
-export interface EntryCoreParts {
+export interface EntryCoreDependencies {
     clock: Clock;
     random: Random;
     log: (part: string) => PartLog;
@@ -34,23 +36,23 @@
     endpoints: EndpointPort;
     memory: MemoryPort;
     policy: PlacementPolicy;
-    /** Whether entries tell one another what they place. */
-    sharesLoads: boolean;
-    /** Cores that this entry's instance has. */
+    /** Whether entries publish their placements to one another. */
+    publishesPlacements: boolean;
+    /** Number of processor cores of this entry's instance. */
     processors?: number;
-    repeatLimits: () => RetryLimits;
+    retryLimits: () => RetryLimits;
     coldLimits: () => ColdLimits;
-    /** What this entry knows of stored objects. */
-    known: () => KnownRevisions;
-    /** How long ago the store answered this entry. */
+    /** The revisions of stored objects that this entry has. */
+    knownRevisions: () => KnownRevisions;
+    /** How long ago the store last responded to this entry. */
     readAges: () => ReadAges;
-    /** Whether the store answers this entry. */
-    reads: () => boolean;
-    /** Undefined while this entry isn't stopping. */
+    /** Whether the store responds to this entry. */
+    isStoreReachable: () => boolean;
+    /** The planned stop; undefined while this entry isn't stopping. */
     stop: () => PlannedStop | undefined;
 }
 
-/** The decisions. */
+/** The components of one entry that decide on requests. */
 export class EntryCore {
     readonly configuration = new ActiveConfiguration();
     readonly metrics = new Metrics();
@@ -61,13 +63,13 @@
     readonly limits: EndpointLimits;
     readonly forwarder: Forwarder;
     private readonly failures: FailureTracker;
-    private readonly placing: PlacementClient;
-    /** Where it takes other entries' datagrams, and where it stands. */
+    private readonly placementClient: PlacementClient;
+    /** Address at which this entry receives its peers' datagrams. */
     readonly address: string;
     readonly dataCentre: string;
 
-    constructor(parts: EntryCoreParts) {
-        const { clock, random, log, self, dataCentre } = parts;
+    constructor(dependencies: EntryCoreDependencies) {
+        const { clock, random, log, self, dataCentre } = dependencies;
         this.address = self.address;
         this.dataCentre = dataCentre;
         this.directory = new EndpointDirectory(clock, log("directory"));
@@ -76,48 +78,48 @@
         this.peers = new Peers({
             clock,
             log: log("peers"),
-            channel: parts.channel,
+            channel: dependencies.channel,
             loads: this.loads,
-            tellsLoads: parts.sharesLoads,
+            tellsLoads: dependencies.publishesPlacements,
             self,
             dataCentre,
-            known: parts.known,
-            readAges: parts.readAges,
-            reads: parts.reads,
+            known: dependencies.knownRevisions,
+            readAges: dependencies.readAges,
+            reads: dependencies.isStoreReachable,
             inProgress: () => this.forwarder.inProgress,
-            processors: parts.processors,
-            places: () => parts.sharesLoads && this.forwarder.ready && parts.stop() === undefined,
+            processors: dependencies.processors,
+            places: () => dependencies.publishesPlacements && this.forwarder.ready && dependencies.stop() === undefined,
             limits: () => this.limits.snapshot(),
-            onLimits: told => this.limits.merge(told),
-            onOutcome: (endpoint, fate) => this.noteOutcome(endpoint, fate),
-            onPlacementAsked: (from, question) => placements.answer(from, question),
-            onPlacementAnswered: answer => this.placing.receiveAnswer(answer),
+            onLimits: advertised => this.limits.merge(advertised),
+            onOutcome: (endpoint, fate) => this.applyPeerOutcome(endpoint, fate),
+            onPlacementAsked: (from, question) => placementServer.answer(from, question),
+            onPlacementAnswered: answer => this.placementClient.receiveAnswer(answer),
         });
-        this.failures.publish = (news, nobodyListens) => this.peers.publishOutcome(news, nobodyListens);
+        this.failures.publish = (update, connectionRefused) => this.peers.publishOutcome(update, connectionRefused);
         this.loads.serviceOf = endpoint => this.directory.find(endpoint)?.record.service;
         this.loads.propagationDelay = () => this.peers.propagationDelay;
         this.membership = new Membership(this.peers, self.id);
         this.limits = new EndpointLimits(clock, log("directory"), this.membership);
-        const placer = new EndpointSelector(this.loads, this.failures, random, parts.policy);
+        const selector = new EndpointSelector(this.loads, this.failures, random, dependencies.policy);
         const { directory, loads, metrics, peers } = this;
-        const cold = new ColdBudget(clock, parts.coldLimits, this.membership);
-        this.placing = new PlacementClient({
+        const coldBudget = new ColdBudget(clock, dependencies.coldLimits, this.membership);
+        this.placementClient = new PlacementClient({
             clock,
             log: log("placing"),
             metrics,
             entry: self.id,
             directory,
-            cold,
+            cold: coldBudget,
             limits: this.limits,
-            placer,
+            placer: selector,
             loads,
             peers,
         });
-        const placements = new PlacementServer({
+        const placementServer = new PlacementServer({
             clock,
             routes: () => this.configuration.routes,
             directory,
-            placer,
+            placer: selector,
             loads,
             dataCentre,
             places: () => peers.placers().self,
@@ -128,19 +130,19 @@
             log: log("request"),
             configuration: this.configuration,
             directory: this.directory,
-            endpoints: parts.endpoints,
-            memory: parts.memory,
-            placing: this.placing,
+            endpoints: dependencies.endpoints,
+            memory: dependencies.memory,
+            placing: this.placementClient,
             loads: this.loads,
             failures: this.failures,
-            repeats: new SharedRetryBudget(clock, parts.repeatLimits, () => this.membership.size),
-            cold,
+            repeats: new SharedRetryBudget(clock, dependencies.retryLimits, () => this.membership.size),
+            cold: coldBudget,
             limits: this.limits,
             metrics: this.metrics,
             entry: self.id,
             dataCentre,
-            reads: parts.reads,
-            stop: parts.stop,
+            reads: dependencies.isStoreReachable,
+            stop: dependencies.stop,
         });
     }
 
@@ -149,7 +151,7 @@
         return service === undefined ? undefined : this.configuration.routes?.service(service)?.engine;
     }
 
-    private noteOutcome(id: string, fate: SendResult): void {
+    private applyPeerOutcome(id: string, fate: SendResult): void {
         const endpoint = this.directory.get(id);
         if (endpoint) {
             this.failures.applyPeerResult(endpoint, fate);
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -1,10 +1,10 @@
-/** One entry: its parts wired together, its tasks, and its planned stop. */
+/** Creates and connects the components of one entry, runs its background tasks, and drains it on a planned stop. */
 import {
     Claims,
     Clock,
     ColdStart,
     Configuration,
-    ConfigurationReaderParts,
+    ConfigurationReaderDependencies,
     describeError,
     Endpoint,
     EndpointReport,
@@ -45,11 +45,11 @@
     watchConfiguration,
 } from "../internal.js";
 
-/** How long a stopping entry still takes what a lagging balancer sends. */
-export const lameDuckMilliseconds = 2_000;
-const drainLookMilliseconds = 50;
+/** How long a stopping entry at least keeps serving requests, because a load balancer notices the stop with a delay. */
+export const lameDuckDurationMilliseconds = 2_000;
+const drainPollIntervalMilliseconds = 50;
 
-/** What the world outside gives an entry. */
+/** Ports and utilities that the process provides to an entry. */
 export interface EntryPorts {
     clock: Clock;
     random: Random;
@@ -57,22 +57,22 @@
     engines: EnginePort;
     services: ServicePort;
     peers: PeerPort;
-    /** A log whose lines begin with the part's name. */
+    /** Creates a log whose lines begin with the part's name. */
     log: (part: string) => PartLog;
     timeline: Timeline;
 }
 
-/** Who an entry is. */
+/** Identity and addresses of an entry. */
 export interface EntryIdentity {
     id: string;
     dataCentre: string;
-    /** Address of its peer port. */
+    /** Address at which this entry serves its peers. */
     peersAddress: string;
-    /** Peers to learn from when the platform is down at start. */
+    /** Addresses of peers to contact if the platform is unavailable at start. */
     seeds: readonly string[];
 }
 
-/** The core of one entry. */
+/** The core of one entry: all its components except the servers for callers, peers and operators. */
 export class EntryNode {
     readonly incarnation: string;
     readonly configuration: Configuration;
@@ -91,7 +91,7 @@
     readonly operations: Operations;
     readonly guard: PauseGuard;
     readonly metrics = new Metrics();
-    /** Requests of callers that are being served. */
+    /** Number of callers' requests in progress. */
     activeRequests = 0;
     private state = InstanceState.Live;
     private readonly self: { instance: string; incarnation: string; };
@@ -105,75 +105,75 @@
         this.self = { instance: identity.id, incarnation: this.incarnation };
         this.health = new PlatformHealth(ports.clock);
         this.guard = new PauseGuard({ ...ports, log: this.log, refresh: since => this.refresh(since) });
-        this.configuration = this.newConfiguration();
+        this.configuration = this.createConfiguration();
         this.restrictions = new Restrictions(this.configuration);
-        this.membership = this.newMembership();
-        this.table = this.newTable();
-        this.homes = this.newHomes();
-        this.coldStart = this.newColdStart();
+        this.membership = this.createMembership();
+        this.table = this.createTable();
+        this.homes = this.createHomes();
+        this.coldStart = this.createColdStart();
         this.suspects = new Suspects(ports.clock);
-        this.placer = this.newPlacer();
-        this.holdings = this.newHoldings();
+        this.placer = this.createPlacer();
+        this.holdings = this.createHoldings();
         this.retries = new RetryBudget(ports.clock);
-        this.generations = this.newGenerations();
-        this.claims = this.newClaims();
-        this.serviceCalls = this.newServiceCalls();
-        this.operations = this.newOperations();
+        this.generations = this.createGenerations();
+        this.claims = this.createClaims();
+        this.serviceCalls = this.createServiceCalls();
+        this.operations = this.createOperations();
     }
 
-    /** Whether this entry knows a whole configuration and an instance list. */
+    /** Whether this entry has a whole configuration and an instance list. */
     get ready(): boolean {
         return this.configuration.loaded && this.membership.instances().length > 0;
     }
 
-    /** Whether callers should be sent here: ready and not stopping. */
+    /** Whether load balancers should send requests to this entry: it is ready and not stopping. */
     get accepting(): boolean {
         return this.ready && this.state === InstanceState.Live;
     }
 
-    /** Starts every task. */
+    /** Starts the background tasks. */
     start(): void {
         const { signal } = this.stopping;
-        const reader = this.readerParts();
+        const reader = this.readerDependencies();
         const { timeline } = this.ports;
-        this.run("the list of the configuration", relistConfiguration(reader, signal));
-        this.run("the watch of the configuration", watchConfiguration(reader, signal));
-        this.run("the instance list", this.membership.followList(signal));
-        this.run("following the list", this.followList(signal));
-        this.run("following the outs", this.followRestrictions(signal));
-        this.run("the home table", this.homes.follow(signal));
-        this.run("reclaiming", this.holdings.reclaim(signal));
-        this.run("collecting claims", this.claims.collect(signal));
-        this.run("the pause guard", this.guard.watch(signal));
-        this.run("waking", this.placer.wakeOnChange(signal));
-        this.run("provisional outs", this.operations.writeProvisional(signal));
+        this.runTask("configuration list", relistConfiguration(reader, signal));
+        this.runTask("configuration watch", watchConfiguration(reader, signal));
+        this.runTask("instance list", this.membership.pollList(signal));
+        this.runTask("endpoint table", this.followInstances(signal));
+        this.runTask("restriction changes", this.followRestrictions(signal));
+        this.runTask("home table", this.homes.maintain(signal));
+        this.runTask("holding reclamation", this.holdings.reclaim(signal));
+        this.runTask("expired claims", this.claims.collectExpired(signal));
+        this.runTask("pause guard", this.guard.monitor(signal));
+        this.runTask("placement queue", this.placer.wakeOnChange(signal));
+        this.runTask("provisional outs", this.operations.writeProvisional(signal));
         timeline.record("entry", "started", undefined, `${this.identity.id}/${this.incarnation}`);
     }
 
     /**
-     * Stops as planned: off the balancer's and the peers' lists first, then out of the home table, then as long as
-     * requests run. Resolves when none is left.
+     * Drains this entry for a planned stop: announces to the peers and the platform that it is leaving, leaves the home
+     * table, and then waits until no request or claim is in progress. Resolves when all tasks have been stopped.
      */
     async drain(): Promise<void> {
         this.state = InstanceState.Leaving;
         this.ports.timeline.record("entry", "draining");
-        this.membership.hurry();
+        this.membership.sendHeartbeatsNow();
         await this.announceLeaving();
-        const lameDuckUntil = this.ports.clock.now() + lameDuckMilliseconds;
-        while (this.activeRequests > 0 || this.claims.count > 0 || this.ports.clock.now() < lameDuckUntil) {
-            await this.ports.clock.sleep(drainLookMilliseconds);
+        const lameDuckUntil = this.ports.clock.now() + lameDuckDurationMilliseconds;
+        while (this.activeRequests > 0 || this.claims.runningCount > 0 || this.ports.clock.now() < lameDuckUntil) {
+            await this.ports.clock.sleep(drainPollIntervalMilliseconds);
         }
         this.stop();
         this.ports.timeline.record("entry", "drained");
     }
 
-    /** Ends every task at once, as a death would. */
+    /** Stops all tasks at once, without draining. */
     stop(): void {
         this.stopping.abort();
         this.table.stop();
     }
 
-    /** What this entry tells its peers. */
+    /** The heartbeat that this entry sends to its peers. */
     heartbeat(): Heartbeat {
         return {
             instance: this.identity.id,
@@ -183,13 +183,13 @@
             provisionalOuts: this.restrictions.pending(),
             suspects: this.suspects.news(),
             homesVersion: this.homes.tableVersion,
-            platformDown: this.health.down,
+            platformDown: this.health.isDown,
         };
     }
 
-    /** Takes in what a peer said, and fetches what it knows better. */
-    async heard(address: string, heartbeat: Heartbeat): Promise<void> {
-        this.heardFrom(heartbeat);
+    /** Applies a heartbeat that a peer returned, and fetches the peer's configuration if it has a higher revision. */
+    async syncFromPeer(address: string, heartbeat: Heartbeat): Promise<void> {
+        this.applyHeartbeat(heartbeat);
         if (heartbeat.configurationRevision <= this.configuration.revision) {
             return;
         }
@@ -197,26 +197,26 @@
         const { page, loaded, instances } = await this.ports.peers.configurationSince(address, held);
         this.configuration.mergePeer(page, loaded);
         if (this.membership.instances().length === 0) {
-            this.membership.takeList(instances);
+            this.membership.applyList(instances);
         }
     }
 
-    /** Takes the news out of a heartbeat that a peer sent by itself. */
-    heardFrom(heartbeat: Heartbeat): void {
+    /** Applies the provisional outs and the suspects of a peer's heartbeat. */
+    applyHeartbeat(heartbeat: Heartbeat): void {
         this.operations.spread(heartbeat.provisionalOuts);
         this.suspects.takeNews(heartbeat.suspects);
     }
 
-    /** What a peer lacks beyond `revision`. */
+    /** The configuration changes after `revision` and the instance list, for a peer. */
     configurationSince(revision: number): PeerConfiguration {
         return {
-            page: this.configuration.since(revision),
+            page: this.configuration.changesSince(revision),
             loaded: this.configuration.loaded,
             instances: this.membership.instances(),
         };
     }
 
-    /** This entry's line of the instance list. */
+    /** This entry's record for the instance list. */
     record(): InstanceRecord {
         return {
             id: this.identity.id,
@@ -228,46 +228,46 @@
         };
     }
 
-    /** Milliseconds on this entry's clock, for adapters. */
+    /** The time on this entry's monotonic clock, for adapters. */
     now(): Milliseconds {
         return this.ports.clock.now();
     }
 
-    private newConfiguration(): Configuration {
+    private createConfiguration(): Configuration {
         const log = this.ports.log("configuration");
         return new Configuration((object, reason) =>
-            log.error("A stored object is invalid and not in force.", { name: object.name, reason })
+            log.error("A stored object is invalid and was ignored.", { name: object.name, reason })
         );
     }
 
-    private newMembership(): Membership {
+    private createMembership(): Membership {
         return new Membership({
             ...this.ports,
             health: this.health,
             log: this.ports.log("membership"),
             self: () => this.record(),
             ownHeartbeat: () => this.heartbeat(),
-            heard: (address, heartbeat) => this.heard(address, heartbeat),
+            onHeartbeat: (address, heartbeat) => this.syncFromPeer(address, heartbeat),
             seeds: this.identity.seeds,
         });
     }
 
-    private newTable(): EndpointTable {
+    private createTable(): EndpointTable {
         return new EndpointTable({
             ...this.ports,
             restrictions: this.restrictions,
-            report: record => this.report(record),
+            report: record => this.fetchReport(record),
             log: this.ports.log("endpoints"),
         });
     }
 
-    private newHomes(): Homes {
+    private createHomes(): Homes {
         const { health, membership, self } = this;
         const serving = () => this.accepting;
-        return new Homes({ ...this.ports, health, membership, self, serving, log: this.ports.log("homes") });
+        return new Homes({ ...this.ports, health, membership, self, isServing: serving, log: this.ports.log("homes") });
     }
 
-    private newColdStart(): ColdStart {
+    private createColdStart(): ColdStart {
         return new ColdStart({
             ...this.ports,
             homes: this.homes,
@@ -279,35 +279,35 @@
         });
     }
 
-    private newPlacer(): Placer {
+    private createPlacer(): Placer {
         const { table, coldStart, suspects, guard } = this;
         const router = new Router(this.ports.random);
         return new Placer({ ...this.ports, table, coldStart, suspects, guard, router, allowed: this.allowed });
     }
 
-    private newHoldings(): Holdings {
+    private createHoldings(): Holdings {
         const { membership, table, self } = this;
         return new Holdings({ ...this.ports, membership, table, self, log: this.ports.log("holdings") });
     }
 
-    private newGenerations(): Generations {
+    private createGenerations(): Generations {
         const { placer, holdings, table, suspects, retries, guard, self } = this;
         const gangs = new Gangs({ ...this.ports, table, holdings, guard, self, allowed: this.allowed });
         const log = this.ports.log("generation");
         return new Generations({ ...this.ports, placer, gangs, holdings, table, suspects, retries, self, log });
     }
 
-    private newClaims(): Claims {
+    private createClaims(): Claims {
         const { health, membership, self } = this;
         return new Claims({ ...this.ports, health, membership, self, log: this.ports.log("claims") });
     }
 
-    private newServiceCalls(): ServiceCalls {
+    private createServiceCalls(): ServiceCalls {
         const { placer, claims, retries, table } = this;
         return new ServiceCalls({ ...this.ports, placer, claims, retries, table });
     }
 
-    private newOperations(): Operations {
+    private createOperations(): Operations {
         const { health, configuration, restrictions, membership } = this;
         const log = this.ports.log("operations");
         return new Operations({ ...this.ports, health, configuration, restrictions, membership, log });
@@ -315,16 +315,19 @@
 
     private readonly allowed = (endpoint: Endpoint): boolean => !this.restrictions.forbids(endpoint.record);
 
-    /** Learns what peers and platform know now; false while none of them answers. */
+    /** Fetches the current state from the platform and the peers. Returns false if none of them responds. */
     private async refresh(since: Milliseconds): Promise<boolean> {
-        const listed = listConfiguration(this.readerParts()).then(() => true, () => false);
-        const [platformAnswered, peersAnswered] = await Promise.all([listed, this.membership.askPeers(since)]);
+        const listed = listConfiguration(this.readerDependencies()).then(() => true, () => false);
+        const [platformAnswered, peersAnswered] = await Promise.all([
+            listed,
+            this.membership.exchangeHeartbeats(since),
+        ]);
         this.table.changed.notify();
-        // Without peers no other entry can have taken an order meanwhile.
+        // Without peers, no other entry can have received an operator's order in the meantime.
         return platformAnswered || peersAnswered > 0 || this.membership.peers().length === 0;
     }
 
-    private readerParts(): ConfigurationReaderParts {
+    private readerDependencies(): ConfigurationReaderDependencies {
         const { clock, random, platform, timeline } = this.ports;
         return {
             clock,
@@ -337,14 +340,14 @@
         };
     }
 
-    private run(task: string, work: Promise<void>): void {
+    private runTask(task: string, work: Promise<void>): void {
         work.catch((error: unknown) => {
-            this.log.error("A task ended with an error.", { task, reason: describeError(error) });
+            this.log.error("A background task failed.", { task, reason: describeError(error) });
             this.ports.timeline.record("entry", "task-failed", undefined, `${task}: ${describeError(error)}`);
         });
     }
 
-    private report(record: InstanceRecord): Promise<EndpointReport> {
+    private fetchReport(record: InstanceRecord): Promise<EndpointReport> {
         const { engines, services } = this.ports;
         return record.role === InstanceRole.Engine ? engines.report(record.address) : services.report(record.address);
     }
@@ -354,7 +357,7 @@
         return this.configuration.profileOf(service === undefined ? undefined : this.configuration.service(service));
     }
 
-    private async followList(signal: AbortSignal): Promise<void> {
+    private async followInstances(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.membership.changed.next(signal);
             this.table.takeList(this.membership.instances());
@@ -374,8 +377,8 @@
             await this.homes.leave();
         }
         catch (error) {
-            // The peers learn it by heartbeat, and the table drops a silent member by itself.
-            this.log.warn("The platform was not told of the stop.", { reason: describeError(error) });
+            // The peers learn of the stop from heartbeats, and they remove unresponsive members from the home table.
+            this.log.warn("The stop could not be announced to the platform.", { reason: describeError(error) });
         }
     }
 }
--- a/src/core/failures.ts
+++ b/src/core/failures.ts
@@ -1,15 +1,15 @@
-/** How a request fails: the one error that the core gives to callers' adapters. */
+/** The error with which the core reports a failed request to the callers' adapters. */
 import { DandelionrampError } from "../utils/errors.js";
 
 /** Whether the request ran on an endpoint. */
 export enum Execution {
-    /** No byte of it reached an endpoint, or the endpoint itself refused before running it. */
+    /** No byte of the request reached an endpoint, or the endpoint rejected the request before running it. */
     NotRun = "not-run",
     Ran = "ran",
     Unknown = "unknown",
 }
 
-/** Kinds of failure, each with a status and a title of its own. */
+/** Kinds of failure. The callers' adapters map each kind to an HTTP status and a title. */
 export enum FailureKind {
     BadRequest = "bad-request",
     BodyTooLarge = "body-too-large",
@@ -26,21 +26,21 @@
     Poison = "crashes-endpoints",
     Overloaded = "overloaded",
     NoEndpoint = "no-endpoint",
-    /** This entry stops before the answer could be whole. */
+    /** This entry stops before it could complete the response. */
     Stopping = "stopping",
     PlatformDown = "platform-down",
     DeadlineExceeded = "deadline-exceeded",
     RetriesExhausted = "retries-exhausted",
     OutcomeUnknown = "outcome-unknown",
-    /** The endpoint's answer was no whole answer to this request. */
+    /** The endpoint's response was incomplete or invalid. */
     AnswerUnusable = "answer-unusable",
     AnswerNotKept = "answer-not-kept",
     Internal = "internal",
 }
 
-/** A request ends without its answer. */
+/** A request that failed without a complete response. */
 export class RequestFailure extends DandelionrampError {
-    /** `retryAfterSeconds` is given where asking again can help. */
+    /** `retryAfterSeconds` is given if a later retry by the caller may succeed. */
     constructor(
         readonly kind: FailureKind,
         readonly execution: Execution,
--- a/src/core/holdings.ts
+++ b/src/core/holdings.ts
@@ -88,7 +88,7 @@
     /** Looks after the engines that fall to this entry until `signal` aborts. */
     async reclaim(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            const entries = this.parts.membership.answeringEntries();
+            const entries = this.parts.membership.responsiveEntries();
             for (const endpoint of this.parts.table.all()) {
                 const mine = rendezvous(endpoint.id, entries) === this.parts.self.instance;
                 if (mine && endpoint.record.role === InstanceRole.Engine && !signal.aborted) {
--- a/src/core/homes.ts
+++ b/src/core/homes.ts
@@ -1,4 +1,7 @@
-/** Which entry is an endpoint's home: the only one that may let work onto it while it is cold. */
+/**
+ * Assigns each endpoint to one entry, its home. Only the home may admit work to the endpoint while the endpoint is cold.
+ * The assignment follows from a table of entries that is stored in the platform.
+ */
 import {
     absentVersion,
     Clock,
@@ -16,32 +19,31 @@
     Timeline,
 } from "../internal.js";
 
-/** How long one confirmation of the table lets a home act. */
-export const homeLeaseMilliseconds = 3_000;
-/** Time between two confirmations. */
-export const homeConfirmMilliseconds = 800;
-/** A permit must be used within this time of being asked for. */
-export const permitSendMilliseconds = 1_000;
-/** What a new home waits out: the old home's lease and the permits it may still have given. */
-export const handOverMilliseconds = homeLeaseMilliseconds + permitSendMilliseconds;
-/** Silence after which a member is proposed for removal. */
-const memberLostMilliseconds = 4_000;
+/** Lease duration: how long a home may act after it began to confirm the table. */
+export const homeLeaseDurationMilliseconds = 3_000;
+/** Shortest time between two confirmations of the table; a random delay is added. */
+export const homeConfirmIntervalMilliseconds = 800;
+/** A permit is valid for this long after it was requested. */
+export const permitLifetimeMilliseconds = 1_000;
+/** How long a new home waits until the previous home's lease and the permits that it granted have expired. */
+export const handoverDelayMilliseconds = homeLeaseDurationMilliseconds + permitLifetimeMilliseconds;
+/** A member that has been unresponsive for this long is removed from the table. */
+const memberTimeoutMilliseconds = 4_000;
 
-/** The stored table. An endpoint's home is the member with the highest rendezvous hash. */
+/** The stored home table. An endpoint's home is the member with the highest rendezvous hash for it. */
 export interface HomesTable {
     members: HomesMember[];
-    /** Version of the table that this one replaced. */
+    /** Version of the table that this table replaced. */
     previous: number;
 }
 
-/** An entry of the table; a restarted entry is another member. */
+/** A member of the home table: one process of an entry. A restarted entry is a different member. */
 export interface HomesMember {
     instance: string;
     incarnation: string;
 }
 
-/** What homes work with. */
-export interface HomesParts {
+export interface HomesDependencies {
     clock: Clock;
     random: Random;
     platform: PlatformPort;
@@ -50,108 +52,114 @@
     log: PartLog;
     timeline: Timeline;
     self: HomesMember;
-    /** Whether this entry should be a member: it is ready and not stopping. */
-    serving: () => boolean;
+    /** Whether this entry is ready and not stopping, and therefore should be a member. */
+    isServing: () => boolean;
 }
 
 const tableName = "table";
 
-/** A table as this entry saw it. */
-interface SeenTable {
+/** A table version as read by this entry. */
+interface ObservedTable {
     version: number;
-    /** Names of the members. */
-    names: string[];
-    seenAt: Milliseconds;
-    /** Whether it followed directly on the table seen before it. */
-    continuous: boolean;
+    memberNames: string[];
+    observedAt: Milliseconds;
+    /** Whether this version directly replaced the version that this entry read before it. */
+    followsPrevious: boolean;
 }
 
-const nameOf = (member: HomesMember): string => `${member.instance}/${member.incarnation}`;
+const memberName = (member: HomesMember): string => `${member.instance}/${member.incarnation}`;
 
 /**
- * The home table and this entry's lease on it.
+ * Maintains the home table and this entry's lease on it.
  *
- * Several entries that each send "a little" overwhelm an endpoint in cold start; one would notice it falling over as
- * soon as it comes back. The table names one home for each endpoint. A home that was paused, or cut off while another
- * took over, must not act: each act needs a confirmation of the table that was begun less than a lease ago, and a new
- * home waits until every older confirmation and permit has run out.
+ * If several entries each sent a few requests to an endpoint during its cold start, they would overload it, and it would
+ * crash as soon as it came back. The table therefore assigns one home to each endpoint. A home that was paused, or was
+ * partitioned while another entry became home, must not act. It may act only while its last confirmation of the table
+ * was begun less than a lease ago, and a new home waits until all older leases and permits have expired.
  */
 export class Homes {
-    /** The tables seen lately, oldest first. */
-    private tables: SeenTable[] = [];
+    /** Table versions read within the handover delay, and the one in force before them; oldest first. */
+    private recentTables: ObservedTable[] = [];
     private confirmedAt: Milliseconds = -Infinity;
-    private readonly silentSince = new Map<string, Milliseconds>();
+    private readonly unresponsiveSince = new Map<string, Milliseconds>();
 
-    constructor(private readonly parts: HomesParts) {}
+    constructor(private readonly dependencies: HomesDependencies) {}
 
-    /** Version of the table seen last. */
+    /** Version of the table that was read last. */
     get tableVersion(): number {
         return this.latest?.version ?? absentVersion;
     }
 
-    /** Instance that is home of an endpoint by the table seen last. */
+    /** Instance that is the endpoint's home according to the table that was read last. */
     homeOf(endpoint: string): string | undefined {
-        return this.homeName(endpoint)?.split("/")[0];
+        return this.homeMemberName(endpoint)?.split("/")[0];
     }
 
-    /** Whether this entry may let work onto the endpoint now. Ask in the same synchronous step as the send. */
+    /** Whether this entry may admit work to the endpoint now. Call this in the same synchronous step as the send. */
     mayAct(endpoint: string): boolean {
-        const now = this.parts.clock.now();
-        if (this.homeName(endpoint) !== nameOf(this.parts.self)) {
+        const now = this.dependencies.clock.now();
+        if (this.homeMemberName(endpoint) !== memberName(this.dependencies.self)) {
             return false;
         }
-        return now < this.leaseEnd() && now >= this.mineSince(endpoint) + handOverMilliseconds;
+        return now < this.leaseEnd() && now >= this.mineSince(endpoint) + handoverDelayMilliseconds;
     }
 
-    /** Confirms the table, joins it and proposes removals, until `signal` aborts. */
-    async follow(signal: AbortSignal): Promise<void> {
+    /** Confirms the table, adds this entry and removes unresponsive members, periodically until `signal` aborts. */
+    async maintain(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             try {
-                await this.confirm();
-                await this.repair();
+                await this.confirmTable();
+                await this.updateMembers();
             }
             catch (error) {
-                this.parts.log.warn("The home table can't be confirmed.", { reason: describeError(error) });
+                this.dependencies.log.warn("The home table can't be confirmed or updated.", {
+                    reason: describeError(error),
+                });
             }
-            const jitter = fullJitter(this.parts.random, homeConfirmMilliseconds / 4, 0, homeConfirmMilliseconds);
-            await this.parts.clock.sleep(homeConfirmMilliseconds + jitter, signal);
+            const jitter = fullJitter(
+                this.dependencies.random,
+                homeConfirmIntervalMilliseconds / 4,
+                0,
+                homeConfirmIntervalMilliseconds,
+            );
+            await this.dependencies.clock.sleep(homeConfirmIntervalMilliseconds + jitter, signal);
         }
     }
 
-    /** Leaves the table on a planned stop; its endpoints pass on after the hand-over time. */
+    /** Removes this entry from the table at a planned stop. Its endpoints' new homes act after the handover delay. */
     async leave(): Promise<void> {
         const members = this.members();
-        const rest = members.filter(member => nameOf(member) !== nameOf(this.parts.self));
-        if (rest.length < members.length) {
-            await this.write(rest);
+        const remaining = members.filter(member => memberName(member) !== memberName(this.dependencies.self));
+        if (remaining.length < members.length) {
+            await this.writeMembers(remaining);
         }
     }
 
-    private get latest(): SeenTable | undefined {
-        return this.tables.at(-1);
+    private get latest(): ObservedTable | undefined {
+        return this.recentTables.at(-1);
     }
 
     private members(): HomesMember[] {
-        return (this.latest?.names ?? []).map(name => {
+        return (this.latest?.memberNames ?? []).map(name => {
             const [instance, incarnation] = name.split("/") as [string, string];
             return { instance, incarnation };
         });
     }
 
-    private homeName(endpoint: string, table = this.latest): string | undefined {
-        return table && rendezvous(endpoint, table.names);
+    private homeMemberName(endpoint: string, table = this.latest): string | undefined {
+        return table && rendezvous(endpoint, table.memberNames);
     }
 
-    /** Since when this entry has been home by an unbroken run of tables. */
+    /** When this entry became the endpoint's home in an uninterrupted sequence of table versions; Infinity if it isn't. */
     private mineSince(endpoint: string): Milliseconds {
         let since = Infinity;
-        for (const table of this.tables.slice().reverse()) {
-            if (this.homeName(endpoint, table) !== nameOf(this.parts.self)) {
+        for (const table of this.recentTables.slice().reverse()) {
+            if (this.homeMemberName(endpoint, table) !== memberName(this.dependencies.self)) {
                 break;
             }
-            since = table.seenAt;
-            // Between two tables that don't follow on each other another home may have acted unseen.
-            if (!table.continuous) {
+            since = table.observedAt;
+            // If this entry missed a version, that version may have made another entry the home.
+            if (!table.followsPrevious) {
                 break;
             }
         }
@@ -159,124 +167,127 @@
     }
 
     private leaseEnd(): Milliseconds {
-        return Math.max(this.confirmedAt, this.sharedOutageAt()) + homeLeaseMilliseconds;
+        return Math.max(this.confirmedAt, this.outageConfirmedAt()) + homeLeaseDurationMilliseconds;
     }
 
     /**
-     * When a majority of the table was last known to see the outage too, and no newer table.
+     * When a majority of the table's members, this entry included, was last known to be in the outage; -Infinity if this
+     * entry has no outage or a member has read a newer table.
      *
-     * In an outage nobody can change the table, so its homes may go on; an entry that is merely cut off from the
-     * platform must not, because the others can move its endpoints to a new home.
+     * During an outage no entry can change the table, so its homes may continue. An entry that alone has lost its
+     * connection to the platform must not continue, because other entries can assign its endpoints to a new home.
      */
-    private sharedOutageAt(): Milliseconds {
-        if (!this.parts.health.down) {
+    private outageConfirmedAt(): Milliseconds {
+        if (!this.dependencies.health.isDown) {
             return -Infinity;
         }
-        const times: Milliseconds[] = [];
+        const confirmationTimes: Milliseconds[] = [];
         const members = this.members();
         for (const member of members) {
-            const peer = this.parts.membership.peer(member.instance);
+            const peer = this.dependencies.membership.peer(member.instance);
             const heartbeat = peer?.heartbeat;
             if (heartbeat && heartbeat.homesVersion > this.tableVersion) {
                 return -Infinity;
             }
             if (peer && heartbeat?.incarnation === member.incarnation && heartbeat.platformDown) {
-                times.push(peer.askedAt);
+                confirmationTimes.push(peer.heartbeatRequestedAt);
             }
         }
-        const others = Math.floor(members.length / 2);
-        if (others === 0) {
-            return this.parts.clock.now();
+        const requiredPeers = Math.floor(members.length / 2);
+        if (requiredPeers === 0) {
+            return this.dependencies.clock.now();
         }
-        times.sort((first, second) => second - first);
-        return times[others - 1] ?? -Infinity;
+        confirmationTimes.sort((first, second) => second - first);
+        return confirmationTimes[requiredPeers - 1] ?? -Infinity;
     }
 
-    private async confirm(): Promise<void> {
-        const askedAt = this.parts.clock.now();
-        const stored = await this.parts.health.watch(this.parts.platform.read(ObjectKind.Homes, tableName));
-        this.take(stored);
+    private async confirmTable(): Promise<void> {
+        const requestedAt = this.dependencies.clock.now();
+        const stored = await this.dependencies.health.track(
+            this.dependencies.platform.read(ObjectKind.Homes, tableName),
+        );
+        this.applyTable(stored);
         if ((stored?.version ?? absentVersion) === this.tableVersion) {
-            this.confirmedAt = askedAt;
+            this.confirmedAt = requestedAt;
         }
     }
 
     /**
-     * Takes a table that differs from the one held, also an older one: a platform restored from an old copy has lost
-     * ours, and nobody would be home of anything again. Whatever table comes, a home by it waits out the hand-over
-     * time, in which every lease on another table ends.
+     * Applies any table whose version differs from the current one, even a lower version. A platform that was restored
+     * from a backup has lost the current version; if entries ignored older ones, no endpoint would have a home again.
+     * This is safe because a new home waits for the handover delay, in which every lease on another table expires.
      */
-    private take(stored: StoredObject | undefined): void {
+    private applyTable(stored: StoredObject | undefined): void {
         if ((stored?.version ?? absentVersion) === this.tableVersion) {
             return;
         }
         if (!stored) {
-            this.tables = [];
+            this.recentTables = [];
             return;
         }
         const { members, previous } = stored.value as HomesTable;
-        const now = this.parts.clock.now();
-        this.tables.push({
+        const now = this.dependencies.clock.now();
+        this.recentTables.push({
             version: stored.version,
-            names: members.map(nameOf),
-            seenAt: now,
-            continuous: previous === this.tableVersion,
+            memberNames: members.map(memberName),
+            observedAt: now,
+            followsPrevious: previous === this.tableVersion,
         });
-        while (this.tables.length > 1 && this.tables[1]!.seenAt < now - handOverMilliseconds) {
-            this.tables.shift();
+        while (this.recentTables.length > 1 && this.recentTables[1]!.observedAt < now - handoverDelayMilliseconds) {
+            this.recentTables.shift();
         }
         const detail = `version ${stored.version}, ${members.length} members`;
-        this.parts.timeline.record("homes", "table", undefined, detail);
+        this.dependencies.timeline.record("homes", "table", undefined, detail);
     }
 
-    private async repair(): Promise<void> {
-        const self = nameOf(this.parts.self);
+    private async updateMembers(): Promise<void> {
+        const self = memberName(this.dependencies.self);
         const before = this.members();
-        const lost = this.lostMembers(before);
-        let members = before.filter(member => !lost.has(nameOf(member)));
-        if (this.parts.serving() && !members.some(member => nameOf(member) === self)) {
-            members = members.filter(member => member.instance !== this.parts.self.instance);
-            members.push(this.parts.self);
+        const unresponsive = this.unresponsiveMembers(before);
+        let members = before.filter(member => !unresponsive.has(memberName(member)));
+        if (this.dependencies.isServing() && !members.some(member => memberName(member) === self)) {
+            members = members.filter(member => member.instance !== this.dependencies.self.instance);
+            members.push(this.dependencies.self);
         }
         const changed = members.length !== before.length
-            || members.some((member, index) => nameOf(member) !== nameOf(before[index]!));
+            || members.some((member, index) => memberName(member) !== memberName(before[index]!));
         if (changed) {
-            await this.write(members);
+            await this.writeMembers(members);
         }
     }
 
-    private lostMembers(members: readonly HomesMember[]): Set<string> {
-        const lost = new Set<string>();
-        const now = this.parts.clock.now();
+    private unresponsiveMembers(members: readonly HomesMember[]): Set<string> {
+        const unresponsive = new Set<string>();
+        const now = this.dependencies.clock.now();
         for (const member of members) {
-            if (nameOf(member) === nameOf(this.parts.self)) {
+            if (memberName(member) === memberName(this.dependencies.self)) {
                 continue;
             }
-            const peer = this.parts.membership.peer(member.instance);
-            const present = peer && this.parts.membership.answers(peer)
+            const peer = this.dependencies.membership.peer(member.instance);
+            const isResponsive = peer && this.dependencies.membership.isResponsive(peer)
                 && peer.heartbeat?.incarnation === member.incarnation;
-            if (present) {
-                this.silentSince.delete(nameOf(member));
+            if (isResponsive) {
+                this.unresponsiveSince.delete(memberName(member));
                 continue;
             }
-            const since = this.silentSince.get(nameOf(member)) ?? now;
-            this.silentSince.set(nameOf(member), since);
-            if (now - since >= memberLostMilliseconds) {
-                lost.add(nameOf(member));
+            const since = this.unresponsiveSince.get(memberName(member)) ?? now;
+            this.unresponsiveSince.set(memberName(member), since);
+            if (now - since >= memberTimeoutMilliseconds) {
+                unresponsive.add(memberName(member));
             }
         }
-        return lost;
+        return unresponsive;
     }
 
-    private async write(members: HomesMember[]): Promise<void> {
+    private async writeMembers(members: HomesMember[]): Promise<void> {
         const value: HomesTable = { members, previous: this.tableVersion };
-        const outcome = await this.parts.health.watch(
-            this.parts.platform.write(ObjectKind.Homes, tableName, this.tableVersion, value),
+        const outcome = await this.dependencies.health.track(
+            this.dependencies.platform.write(ObjectKind.Homes, tableName, this.tableVersion, value),
         );
         if (outcome.type === "Conflict") {
-            this.take(outcome.current);
+            this.applyTable(outcome.current);
             return;
         }
-        this.take({ kind: ObjectKind.Homes, name: tableName, version: outcome.version, value });
+        this.applyTable({ kind: ObjectKind.Homes, name: tableName, version: outcome.version, value });
     }
 }
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -1,4 +1,7 @@
-/** Which instances exist, which peers answer, and what the peers last said. */
+/**
+ * Tracks the instance list, which peers respond, and the last heartbeat of each peer. While the platform is unavailable,
+ * the last list stays in force, and an entry without any list contacts its configured seed addresses.
+ */
 import {
     ChangeSignal,
     Clock,
@@ -14,26 +17,25 @@
     PlatformPort,
 } from "../internal.js";
 
-/** Time between two readings of the instance list. */
-export const instanceListMilliseconds = 1_000;
-/** Time between two heartbeats to one peer. */
-export const heartbeatMilliseconds = 400;
-/** Silence after which a peer counts as lost. */
-export const peerLostMilliseconds = 2_000;
+/** Interval at which the instance list is read. */
+export const instanceListIntervalMilliseconds = 1_000;
+/** Longest time between a heartbeat exchange with a peer and the next one. */
+export const heartbeatIntervalMilliseconds = 400;
+/** A peer is unresponsive if its last heartbeat was requested longer ago than this. */
+export const peerTimeoutMilliseconds = 2_000;
 
-/** What is known of one peer. */
+/** State of one peer as received by this entry. */
 export interface PeerState {
     record: InstanceRecord;
-    /** The peer's last answer. */
+    /** The last heartbeat that the peer returned. */
     heartbeat: Heartbeat | undefined;
-    /** When the exchange that brought it was begun, on this entry's clock. */
-    askedAt: Milliseconds;
-    /** When the peer's present process first answered. */
-    knownSince: Milliseconds;
+    /** When this entry began the exchange that returned `heartbeat`, on its own clock. */
+    heartbeatRequestedAt: Milliseconds;
+    /** When this entry began the first exchange with the peer's current process. */
+    incarnationSeenAt: Milliseconds;
 }
 
-/** What membership works with. */
-export interface MembershipParts {
+export interface MembershipDependencies {
     clock: Clock;
     platform: PlatformPort;
     health: PlatformHealth;
@@ -41,25 +43,25 @@
     log: PartLog;
     self: () => InstanceRecord;
     ownHeartbeat: () => Heartbeat;
-    /** Takes in what a peer said, from either direction. */
-    heard: (address: string, heartbeat: Heartbeat) => Promise<void>;
-    /** Addresses of peers to ask when the platform gives no list. */
+    /** Called with each heartbeat that a peer returns. */
+    onHeartbeat: (address: string, heartbeat: Heartbeat) => Promise<void>;
+    /** Addresses of peers to contact while no instance list is available. */
     seeds: readonly string[];
 }
 
-/** The instances of the list and one heartbeat task for each peer. */
+/** Holds the instance list and runs one heartbeat task for each peer. */
 export class Membership {
-    /** Notified when the list changed. */
+    /** Notified after each list that is applied. */
     readonly changed = new ChangeSignal();
     private records = new Map<string, InstanceRecord>();
     private readonly peerStates = new Map<string, PeerState>();
     private readonly peerTasks = new Map<string, AbortController>();
-    private urgent = new ChangeSignal();
-    private peerLostAt: Milliseconds = -Infinity;
+    private heartbeatsDue = new ChangeSignal();
+    private peerStateLostAt: Milliseconds = -Infinity;
 
-    constructor(private readonly parts: MembershipParts) {}
+    constructor(private readonly dependencies: MembershipDependencies) {}
 
-    /** Every line of the list as last read. */
+    /** All records of the instance list as last applied. */
     instances(): InstanceRecord[] {
         return [...this.records.values()];
     }
@@ -68,7 +70,7 @@
         return this.records.get(id);
     }
 
-    /** Other entries on the list. */
+    /** The other entries on the list, or the seed peers while there is no list. */
     peers(): PeerState[] {
         return [...this.peerStates.values()];
     }
@@ -77,50 +79,52 @@
         return this.peerStates.get(id);
     }
 
-    /** Whether a peer answered lately. */
-    answers(peer: PeerState): boolean {
-        return peer.heartbeat !== undefined && this.parts.clock.now() - peer.askedAt < peerLostMilliseconds;
+    /** Whether a peer returned a heartbeat within the peer timeout. */
+    isResponsive(peer: PeerState): boolean {
+        return peer.heartbeat !== undefined
+            && this.dependencies.clock.now() - peer.heartbeatRequestedAt < peerTimeoutMilliseconds;
     }
 
-    /** When a peer was last found to have ended without a planned stop: what it knew is lost. */
+    /** When this entry last found that an entry had ended without a planned stop, so that its in-memory state is lost. */
     get lastPeerLoss(): Milliseconds {
-        return this.peerLostAt;
+        return this.peerStateLostAt;
     }
 
-    /** Names of the entries that answer, this one included. */
-    answeringEntries(): string[] {
-        const names = this.peers().filter(peer => this.answers(peer)).map(peer => peer.record.id);
-        return [...names, this.parts.self().id];
+    /** Names of the responsive entries, this entry included. */
+    responsiveEntries(): string[] {
+        const names = this.peers().filter(peer => this.isResponsive(peer)).map(peer => peer.record.id);
+        return [...names, this.dependencies.self().id];
     }
 
     /**
-     * Exchanges one heartbeat with every peer, for news missed during a pause; returns how many answered whose
-     * process was known `before`. One that started meanwhile may know no more than this entry.
+     * Exchanges one heartbeat with every peer, to get updates that this entry missed during a pause. Returns how many
+     * peers responded whose process was seen before the time `before`. Peers that started later aren't counted: their
+     * state may be as stale as this entry's.
      */
-    async askPeers(before: Milliseconds): Promise<number> {
+    async exchangeHeartbeats(before: Milliseconds): Promise<number> {
         const peers = this.peers();
-        const answers = await Promise.all(peers.map(peer => this.askPeer(peer)));
-        return peers.filter((peer, index) => answers[index] && peer.knownSince < before).length;
+        const responded = await Promise.all(peers.map(peer => this.exchangeHeartbeat(peer)));
+        return peers.filter((peer, index) => responded[index] && peer.incarnationSeenAt < before).length;
     }
 
-    /** Sends the next heartbeat to every peer at once, because there is news. */
-    hurry(): void {
-        this.urgent.notify();
+    /** Sends the next heartbeat to every peer without waiting for the interval, because it carries an update. */
+    sendHeartbeatsNow(): void {
+        this.heartbeatsDue.notify();
     }
 
-    /** Takes a list, from the platform or a peer. */
-    takeList(list: readonly InstanceRecord[]): void {
+    /** Replaces the instance list by one from the platform or a peer. */
+    applyList(list: readonly InstanceRecord[]): void {
         this.records = new Map(list.map(record => [record.id, record]));
-        this.notePredecessor();
-        this.followPeers();
+        this.detectPredecessor();
+        this.updatePeers();
         this.changed.notify();
     }
 
-    /** Announces this instance and reads the list until `signal` aborts. */
-    async followList(signal: AbortSignal): Promise<void> {
+    /** Reads the list and announces this instance if its record is missing or outdated, until `signal` aborts. */
+    async pollList(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.readList();
-            await this.parts.clock.sleep(instanceListMilliseconds, signal);
+            await this.dependencies.clock.sleep(instanceListIntervalMilliseconds, signal);
         }
         for (const task of this.peerTasks.values()) {
             task.abort();
@@ -129,33 +133,33 @@
 
     private async readList(): Promise<void> {
         try {
-            const list = await this.parts.health.watch(this.parts.platform.instances());
-            this.takeList(list);
-            if (!this.listsSelf(list)) {
-                await this.parts.health.watch(this.parts.platform.announce(this.parts.self()));
+            const list = await this.dependencies.health.track(this.dependencies.platform.instances());
+            this.applyList(list);
+            if (!this.includesSelf(list)) {
+                await this.dependencies.health.track(this.dependencies.platform.announce(this.dependencies.self()));
             }
         }
         catch (error) {
-            // In an outage the last list stays in force: an empty one would take every endpoint away at once.
-            this.parts.log.warn("The instance list can't be read.", { reason: describeError(error) });
-            this.seedPeers();
+            // During an outage the last list stays in force: an empty list would remove all endpoints at once.
+            this.dependencies.log.warn("The instance list can't be read.", { reason: describeError(error) });
+            this.addSeedPeers();
         }
     }
 
-    private listsSelf(list: readonly InstanceRecord[]): boolean {
-        const self = this.parts.self();
+    private includesSelf(list: readonly InstanceRecord[]): boolean {
+        const self = this.dependencies.self();
         return list.some(record =>
             record.id === self.id && record.incarnation === self.incarnation && record.state === self.state
         );
     }
 
-    private seedPeers(): void {
+    private addSeedPeers(): void {
         if (this.records.size > 0) {
             return;
         }
-        for (const address of this.parts.seeds) {
+        for (const address of this.dependencies.seeds) {
             const id = `seed-${address}`;
-            this.startPeer({
+            this.addOrUpdatePeer({
                 id,
                 role: InstanceRole.Entry,
                 dataCentre: "",
@@ -166,11 +170,11 @@
         }
     }
 
-    private followPeers(): void {
-        const self = this.parts.self();
+    private updatePeers(): void {
+        const self = this.dependencies.self();
         for (const [id, task] of this.peerTasks) {
             if (!this.records.has(id)) {
-                this.noteLoss(this.peerStates.get(id));
+                this.recordPeerLoss(this.peerStates.get(id));
                 task.abort();
                 this.peerTasks.delete(id);
                 this.peerStates.delete(id);
@@ -178,69 +182,80 @@
         }
         for (const record of this.records.values()) {
             if (record.role === InstanceRole.Entry && record.id !== self.id) {
-                this.startPeer(record);
+                this.addOrUpdatePeer(record);
             }
         }
     }
 
-    /** A process that replaces one of its own instance has lost what that one knew. */
-    private notePredecessor(): void {
-        const self = this.parts.self();
+    /** Detects that an earlier process of this instance ended without a planned stop. Its in-memory state is lost. */
+    private detectPredecessor(): void {
+        const self = this.dependencies.self();
         const listed = this.records.get(self.id);
         if (listed && listed.incarnation !== self.incarnation && listed.state !== InstanceState.Leaving) {
-            this.peerLostAt = this.parts.clock.now();
+            this.peerStateLostAt = this.dependencies.clock.now();
         }
     }
 
-    private noteLoss(peer: PeerState | undefined): void {
+    private recordPeerLoss(peer: PeerState | undefined): void {
         if (peer?.heartbeat && peer.heartbeat.state !== InstanceState.Leaving) {
-            this.peerLostAt = this.parts.clock.now();
+            this.peerStateLostAt = this.dependencies.clock.now();
         }
     }
 
-    private startPeer(record: InstanceRecord): void {
-        const known = this.peerStates.get(record.id);
-        if (known) {
-            known.record = record;
+    private addOrUpdatePeer(record: InstanceRecord): void {
+        const existing = this.peerStates.get(record.id);
+        if (existing) {
+            existing.record = record;
             return;
         }
         const task = new AbortController();
-        const state: PeerState = { record, heartbeat: undefined, askedAt: -Infinity, knownSince: Infinity };
+        const state: PeerState = {
+            record,
+            heartbeat: undefined,
+            heartbeatRequestedAt: -Infinity,
+            incarnationSeenAt: Infinity,
+        };
         this.peerStates.set(record.id, state);
         this.peerTasks.set(record.id, task);
-        void this.followPeer(state, task.signal);
+        void this.runHeartbeats(state, task.signal);
     }
 
-    private async followPeer(peer: PeerState, signal: AbortSignal): Promise<void> {
+    private async runHeartbeats(peer: PeerState, signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.askPeer(peer);
-            const stop = new AbortController();
-            const end = () => stop.abort();
-            signal.addEventListener("abort", end, { once: true });
+            await this.exchangeHeartbeat(peer);
+            const waiting = new AbortController();
+            const stopWaiting = () => waiting.abort();
+            signal.addEventListener("abort", stopWaiting, { once: true });
             await Promise.race([
-                this.parts.clock.sleep(heartbeatMilliseconds, stop.signal),
-                this.urgent.next(stop.signal),
+                this.dependencies.clock.sleep(heartbeatIntervalMilliseconds, waiting.signal),
+                this.heartbeatsDue.next(waiting.signal),
             ]);
-            signal.removeEventListener("abort", end);
-            stop.abort();
+            signal.removeEventListener("abort", stopWaiting);
+            waiting.abort();
         }
     }
 
-    private async askPeer(peer: PeerState): Promise<boolean> {
-        const askedAt = this.parts.clock.now();
+    private async exchangeHeartbeat(peer: PeerState): Promise<boolean> {
+        const requestedAt = this.dependencies.clock.now();
         try {
-            const heartbeat = await this.parts.peers.heartbeat(peer.record.address, this.parts.ownHeartbeat());
+            const heartbeat = await this.dependencies.peers.heartbeat(
+                peer.record.address,
+                this.dependencies.ownHeartbeat(),
+            );
             if (peer.heartbeat?.incarnation !== heartbeat.incarnation) {
-                this.noteLoss(peer);
-                peer.knownSince = askedAt;
+                this.recordPeerLoss(peer);
+                peer.incarnationSeenAt = requestedAt;
             }
             peer.heartbeat = heartbeat;
-            peer.askedAt = askedAt;
-            await this.parts.heard(peer.record.address, heartbeat);
+            peer.heartbeatRequestedAt = requestedAt;
+            await this.dependencies.onHeartbeat(peer.record.address, heartbeat);
             return true;
         }
         catch (error) {
-            this.parts.log.warn("A peer does not answer.", { peer: peer.record.id, reason: describeError(error) });
+            this.dependencies.log.warn("A heartbeat exchange with a peer failed.", {
+                peer: peer.record.id,
+                reason: describeError(error),
+            });
             return false;
         }
     }
--- a/src/core/metrics.ts
+++ b/src/core/metrics.ts
@@ -1,27 +1,27 @@
-/** Counts and histograms of one entry, in the text format that metric collectors read. */
-// The package's own entry also loads its codecs and number formats, a tenth of the time to start.
+/** Counters and duration histograms of one entry, in the Prometheus text format. */
+// The package's main module also loads its codecs and number formats, which takes a tenth of the start-up time.
 import histogramModule from "hdr-histogram-js/dist/Int32Histogram.js";
 import type { Milliseconds } from "../utils/clock.js";
 
-/** Longer durations count as this long: an hour. */
-const highestMilliseconds = 3_600_000;
+/** One hour. Longer durations are recorded as this one. */
+const maximumDurationMilliseconds = 3_600_000;
 const quantiles = [50, 95, 99];
-/** Of each duration that is kept. */
+/** Precision of the recorded durations. */
 const significantDigits = 2;
 
 type HistogramClass = typeof histogramModule.default;
 type Histogram = InstanceType<HistogramClass>;
-/** Node gives the module where bundlers give what it exports as its default. */
-const loaded = histogramModule as { default?: HistogramClass; };
-const Histogram = loaded.default ?? loaded as HistogramClass;
+/** Node imports the CommonJS module object; bundlers import its default export. */
+const imported = histogramModule as { default?: HistogramClass; };
+const Histogram = imported.default ?? imported as HistogramClass;
 
-const newHistogram = (): Histogram => new Histogram(1, highestMilliseconds, significantDigits);
+const newHistogram = (): Histogram => new Histogram(1, maximumDurationMilliseconds, significantDigits);
 
-const keyOf = (name: string, labels: string): string => labels === "" ? name : `${name}{${labels}}`;
+const seriesKey = (name: string, labels: string): string => labels === "" ? name : `${name}{${labels}}`;
 
 /**
- * Metrics of one entry. Labels come as a ready list such as `kind="overloaded"`; only words of the code belong there,
- * never what callers sent, since each new list of labels is kept for the life of the process.
+ * Metrics of one entry. Labels are passed in their text form, such as `kind="overloaded"`. Label values must be constants
+ * of the code and never callers' input, because each distinct list of labels takes memory until the process ends.
  */
 export class Metrics {
     private readonly counters = new Map<string, number>();
@@ -30,25 +30,24 @@
         { name: string; labels: string; histogram: Histogram; sum: number; }
     >();
 
-    /** Adds one to a counter. */
     count(name: string, labels = ""): void {
-        const key = keyOf(name, labels);
+        const key = seriesKey(name, labels);
         this.counters.set(key, (this.counters.get(key) ?? 0) + 1);
     }
 
-    /** Notes a duration; `name` ends in the unit, milliseconds. */
+    /** Records a duration. `name` ends in its unit, `_milliseconds`. */
     observe(name: string, duration: Milliseconds, labels = ""): void {
-        const key = keyOf(name, labels);
-        let kept = this.durations.get(key);
-        if (!kept) {
-            kept = { name, labels, histogram: newHistogram(), sum: 0 };
-            this.durations.set(key, kept);
+        const key = seriesKey(name, labels);
+        let series = this.durations.get(key);
+        if (!series) {
+            series = { name, labels, histogram: newHistogram(), sum: 0 };
+            this.durations.set(key, series);
         }
-        kept.sum += duration;
-        kept.histogram.recordValue(Math.min(highestMilliseconds, Math.max(1, Math.round(duration))));
+        series.sum += duration;
+        series.histogram.recordValue(Math.min(maximumDurationMilliseconds, Math.max(1, Math.round(duration))));
     }
 
-    /** Everything, with `gauges` of the moment. */
+    /** Formats all metrics, with the current values of `gauges`. */
     text(gauges: Record<string, number>): string {
         const lines: string[] = [];
         for (const [key, value] of this.counters) {
@@ -60,11 +59,11 @@
         for (const { name, labels, histogram, sum } of this.durations.values()) {
             const separator = labels === "" ? "" : ",";
             for (const quantile of quantiles) {
-                const all = `${labels}${separator}quantile="${quantile / 100}"`;
-                lines.push(`dandelionramp_${name}{${all}} ${histogram.getValueAtPercentile(quantile)}`);
+                const allLabels = `${labels}${separator}quantile="${quantile / 100}"`;
+                lines.push(`dandelionramp_${name}{${allLabels}} ${histogram.getValueAtPercentile(quantile)}`);
             }
-            lines.push(`dandelionramp_${keyOf(`${name}_sum`, labels)} ${Math.round(sum)}`);
-            lines.push(`dandelionramp_${keyOf(`${name}_count`, labels)} ${histogram.totalCount}`);
+            lines.push(`dandelionramp_${seriesKey(`${name}_sum`, labels)} ${Math.round(sum)}`);
+            lines.push(`dandelionramp_${seriesKey(`${name}_count`, labels)} ${histogram.totalCount}`);
         }
         return `${lines.join("\n")}\n`;
     }
--- a/src/core/operations.ts
+++ b/src/core/operations.ts
@@ -1,4 +1,7 @@
-/** What operators change: configuration objects by conditional write, and outs that hold even in an outage. */
+/**
+ * Carries out operators' changes: conditional writes of configuration objects, and orders that take a data centre or an
+ * instance out of service ("outs"). An out takes effect even while the platform is unavailable.
+ */
 import {
     absentVersion,
     Clock,
@@ -26,34 +29,33 @@
     WriteOutcome,
 } from "../internal.js";
 
-const writeMilliseconds = 3_000;
-const writeRetryMilliseconds = 100;
-const provisionalRetryMilliseconds = 500;
+const writeTimeoutMilliseconds = 3_000;
+const writeRetryDelayMilliseconds = 100;
+const provisionalRetryIntervalMilliseconds = 500;
 
-/** Lifted outs that are remembered; more than can wait at the same time. */
-const liftsKept = 64;
+/** Number of lifted outs that an object lists; more than are pending at the same time. */
+const maximumLifts = 64;
 
-/** Every out that an object has ever held or lifted, as far as it is remembered. */
-const liftsOf = (serving: Serving | undefined): string[] => {
+/** The outs that a new state of the object supersedes: those already lifted and the one in force, the latest ones only. */
+const supersededOuts = (serving: Serving | undefined): string[] => {
     const lifts = serving?.lifts ?? [];
-    const own = serving?.state === ServingState.Out && serving.change !== undefined ? [serving.change] : [];
-    return [...lifts, ...own].slice(-liftsKept);
+    const current = serving?.state === ServingState.Out && serving.change !== undefined ? [serving.change] : [];
+    return [...lifts, ...current].slice(-maximumLifts);
 };
 
-/** What became of an operator's change. */
+/** Result of an operator's change. */
 export type ChangeOutcome =
-    /** In the platform: accepted, and spreading. */
+    /** The platform has stored the change; the other entries receive it from the platform or from peers. */
     | { type: "Accepted"; version: number; }
-    /** Somebody else changed the object since `expectedVersion`; nothing of this change is in force. */
+    /** The stored version was not `expectedVersion`; no part of this change is in force. */
     | { type: "Conflict"; current: StoredObject | undefined; }
-    /** The platform is down; the out holds on all entries that peers reach and is written when it returns. */
+    /** The platform is unavailable. The out is in force on all reachable entries and is stored once it is available. */
     | { type: "Provisional"; };
 
-/** The platform could not say whether it took a change. */
+/** The platform failed to read or write an object. A change whose write failed may still take effect. */
 export class ChangeUncertainError extends DandelionrampError {}
 
-/** What operations work with. */
-export interface OperationsParts {
+export interface OperationsDependencies {
     clock: Clock;
     random: Random;
     platform: PlatformPort;
@@ -65,94 +67,107 @@
     timeline: Timeline;
 }
 
-/** Carries out operators' orders. */
+/** Carries out operators' changes. */
 export class Operations {
-    constructor(private readonly parts: OperationsParts) {}
+    constructor(private readonly dependencies: OperationsDependencies) {}
 
     /**
-     * Writes or, with an undefined `value`, removes a configuration object.
+     * Writes a configuration object, or removes it if `value` is undefined.
      *
-     * `expectedVersion` is the version the operator saw; without it the version this entry holds is taken. Throws
-     * InvalidObjectError for a bad value and {@link ChangeUncertainError} while the platform doesn't answer.
+     * `expectedVersion` is the version that the operator read; by default the version that the platform stores now.
+     * Throws InvalidObjectError for an invalid value and {@link ChangeUncertainError} if the platform's calls fail.
      */
     async change(kind: ObjectKind, name: string, value: unknown, expectedVersion?: number): Promise<ChangeOutcome> {
         if (kind === ObjectKind.DataCentre || kind === ObjectKind.Instance) {
-            throw new InvalidObjectError(`${kind}: change its state with the commands out and in`);
+            throw new InvalidObjectError(`${kind}: use the commands "out" and "in" to change its state`);
         }
-        const expected = expectedVersion ?? (await this.current(kind, name))?.version ?? absentVersion;
+        const expected = expectedVersion ?? (await this.readStored(kind, name))?.version ?? absentVersion;
         if (value === undefined) {
-            return this.settle(kind, name, expected, undefined);
+            return this.writeWithRetry(kind, name, expected, undefined);
         }
         const checked = parseConfigurationObject(kind, name, value) as Record<string, unknown>;
-        const identified = { ...checked, change: randomIdentifier(this.parts.random) };
-        return this.settle(kind, name, expected, identified);
+        const identified = { ...checked, change: randomIdentifier(this.dependencies.random) };
+        return this.writeWithRetry(kind, name, expected, identified);
     }
 
-    /** Takes a data centre or an instance out; in an outage provisionally. It holds until somebody brings it back in. */
+    /**
+     * Takes a data centre or an instance out of service until an operator brings it back in. While the platform is
+     * unavailable, the out is provisional.
+     */
     async takeOut(kind: ProvisionalOut["kind"], name: string): Promise<ChangeOutcome> {
-        const out: ProvisionalOut = { kind, name, outId: randomIdentifier(this.parts.random) };
-        // In force here and at the peers first: a slow platform must not delay it.
+        const out: ProvisionalOut = { kind, name, outId: randomIdentifier(this.dependencies.random) };
+        // The out takes effect on this entry and its peers before it is stored, so a slow platform doesn't delay it.
         this.spread([out]);
-        const until = this.tryUntil();
+        const until = this.retryDeadline();
         while (true) {
             const outcome = await this.storeOut(out);
             if (outcome?.type === "Accepted") {
                 return outcome;
             }
-            if (this.parts.clock.now() >= until) {
-                this.parts.log.warn("An out is provisional until the platform returns.", { kind, name });
+            if (this.dependencies.clock.now() >= until) {
+                this.dependencies.log.warn("An out is provisional until the platform stores it.", { kind, name });
                 return { type: "Provisional" };
             }
-            await this.parts.clock.sleep(writeRetryMilliseconds);
+            await this.dependencies.clock.sleep(writeRetryDelayMilliseconds);
         }
     }
 
-    /** Brings a data centre or an instance back in. Needs the platform. */
+    /** Brings a data centre or an instance back into service. Requires the platform. */
     async bringIn(kind: ProvisionalOut["kind"], name: string): Promise<ChangeOutcome> {
         const objectKind = servingKindOf(kind);
-        const stored = await this.current(objectKind, name);
+        const stored = await this.readStored(objectKind, name);
         const serving = stored?.value as Serving | undefined;
-        const pending = this.parts.restrictions.pendingOf(kind, name).map(out => out.outId);
+        const pending = this.dependencies.restrictions.pendingOf(kind, name).map(out => out.outId);
         const value: Serving = {
             state: ServingState.In,
-            change: randomIdentifier(this.parts.random),
-            lifts: [...liftsOf(serving), ...pending].slice(-liftsKept),
+            change: randomIdentifier(this.dependencies.random),
+            lifts: [...supersededOuts(serving), ...pending].slice(-maximumLifts),
         };
-        return this.settle(objectKind, name, stored?.version ?? absentVersion, value);
+        return this.writeWithRetry(objectKind, name, stored?.version ?? absentVersion, value);
     }
 
-    /** Takes outs from an operator or a peer and passes news on. */
+    /** Applies outs from an operator or a peer and sends new ones to the peers. */
     spread(outs: readonly ProvisionalOut[]): void {
-        if (this.parts.restrictions.add(outs)) {
+        if (this.dependencies.restrictions.add(outs)) {
             for (const out of outs) {
-                this.parts.timeline.record("operations", "provisional-out", undefined, `${out.kind} ${out.name}`);
+                this.dependencies.timeline.record(
+                    "operations",
+                    "provisional-out",
+                    undefined,
+                    `${out.kind} ${out.name}`,
+                );
             }
-            this.parts.membership.hurry();
+            this.dependencies.membership.sendHeartbeatsNow();
         }
     }
 
-    /** Writes provisional outs as soon as the platform takes them, until `signal` aborts. */
+    /** Retries storing the provisional outs at an interval until `signal` aborts. */
     async writeProvisional(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            for (const out of this.parts.restrictions.pending()) {
+            for (const out of this.dependencies.restrictions.pending()) {
                 await this.storeOut(out);
             }
-            await this.parts.clock.sleep(provisionalRetryMilliseconds, signal);
+            await this.dependencies.clock.sleep(provisionalRetryIntervalMilliseconds, signal);
         }
     }
 
-    /** Tries once to store an out against the version held; undefined when the platform doesn't answer. */
+    /** Tries once to store an out, expecting the version held. Returns undefined if the platform call fails. */
     private async storeOut(out: ProvisionalOut): Promise<ChangeOutcome | undefined> {
         const kind = servingKindOf(out.kind);
-        const held = this.parts.configuration.object(kind, out.name);
+        const held = this.dependencies.configuration.object(kind, out.name);
         const value: Serving = {
             state: ServingState.Out,
             change: out.outId,
-            lifts: liftsOf(held?.value as Serving | undefined),
+            lifts: supersededOuts(held?.value as Serving | undefined),
         };
         try {
-            const outcome = await this.parts.platform.write(kind, out.name, held?.version ?? absentVersion, value);
-            return this.learn(kind, out.name, outcome, value);
+            const outcome = await this.dependencies.platform.write(
+                kind,
+                out.name,
+                held?.version ?? absentVersion,
+                value,
+            );
+            return this.applyOutcome(kind, out.name, outcome, value);
         }
         catch (error) {
             if (error instanceof PlatformError) {
@@ -162,67 +177,77 @@
         }
     }
 
-    private async current(kind: ObjectKind, name: string): Promise<StoredObject | undefined> {
-        const until = this.tryUntil();
+    private async readStored(kind: ObjectKind, name: string): Promise<StoredObject | undefined> {
+        const until = this.retryDeadline();
         while (true) {
             try {
-                return await this.parts.platform.read(kind, name);
+                return await this.dependencies.platform.read(kind, name);
             }
             catch (error) {
-                await this.pauseOrThrow(error, until, "the platform can't be read; nothing was changed");
+                await this.delayOrThrow(error, until, "the platform could not be read; nothing was changed");
             }
         }
     }
 
-    private async settle(kind: ObjectKind, name: string, expected: number, value: unknown): Promise<ChangeOutcome> {
-        const until = this.tryUntil();
+    private async writeWithRetry(
+        kind: ObjectKind,
+        name: string,
+        expected: number,
+        value: unknown,
+    ): Promise<ChangeOutcome> {
+        const until = this.retryDeadline();
         while (true) {
             try {
                 const outcome = value === undefined
-                    ? await this.parts.platform.remove(kind, name, expected)
-                    : await this.parts.platform.write(kind, name, expected, value);
-                return this.learn(kind, name, outcome, value);
+                    ? await this.dependencies.platform.remove(kind, name, expected)
+                    : await this.dependencies.platform.write(kind, name, expected, value);
+                return this.applyOutcome(kind, name, outcome, value);
             }
             catch (error) {
-                // The same condition again: a write that took effect with its answer lost conflicts with itself.
-                await this.pauseOrThrow(error, until, "the platform doesn't answer; the change may be in force later");
+                // The next attempt expects the same version. If this one succeeded and its response was lost, the next
+                // one conflicts with it, and `applyOutcome` recognizes the change by its identifier.
+                await this.delayOrThrow(
+                    error,
+                    until,
+                    "the platform could not confirm the change; it may still take effect",
+                );
             }
         }
     }
 
-    /** In a known outage one try is enough: an operator's out must not wait for more. */
-    private tryUntil(): Milliseconds {
-        return this.parts.clock.now() + (this.parts.health.down ? 0 : writeMilliseconds);
+    /** During a known outage there is one attempt only, so that an operator's out isn't delayed by retries. */
+    private retryDeadline(): Milliseconds {
+        return this.dependencies.clock.now() + (this.dependencies.health.isDown ? 0 : writeTimeoutMilliseconds);
     }
 
-    private async pauseOrThrow(error: unknown, until: Milliseconds, message: string): Promise<void> {
+    private async delayOrThrow(error: unknown, until: Milliseconds, message: string): Promise<void> {
         if (!(error instanceof PlatformError)) {
             throw error;
         }
-        if (this.parts.clock.now() >= until) {
+        if (this.dependencies.clock.now() >= until) {
             throw new ChangeUncertainError(`${message} (${describeError(error)})`, { cause: error });
         }
-        await this.parts.clock.sleep(writeRetryMilliseconds);
+        await this.dependencies.clock.sleep(writeRetryDelayMilliseconds);
     }
 
-    private learn(kind: ObjectKind, name: string, outcome: WriteOutcome, value: unknown): ChangeOutcome {
+    private applyOutcome(kind: ObjectKind, name: string, outcome: WriteOutcome, value: unknown): ChangeOutcome {
         if (outcome.type === "Written") {
-            this.take({ kind, name, version: outcome.version, value });
+            this.applyObject({ kind, name, version: outcome.version, value });
             return { type: "Accepted", version: outcome.version };
         }
         const { current } = outcome;
         if (current) {
-            this.take(current);
+            this.applyObject(current);
         }
-        const own = (value as { change?: string; } | undefined)?.change;
-        if (own !== undefined && (current?.value as { change?: string; } | undefined)?.change === own) {
+        const ownChange = (value as { change?: string; } | undefined)?.change;
+        if (ownChange !== undefined && (current?.value as { change?: string; } | undefined)?.change === ownChange) {
             return { type: "Accepted", version: current!.version };
         }
         return { type: "Conflict", current };
     }
 
-    private take(object: StoredObject): void {
-        this.parts.configuration.merge({ revision: 0, objects: [object] });
-        this.parts.membership.hurry();
+    private applyObject(object: StoredObject): void {
+        this.dependencies.configuration.merge({ revision: 0, objects: [object] });
+        this.dependencies.membership.sendHeartbeatsNow();
     }
 }
--- a/src/core/pauseGuard.ts
+++ b/src/core/pauseGuard.ts
@@ -1,64 +1,63 @@
-/** Notices that this process was paused, and holds sends back until its knowledge is fresh again. */
+/** Detects that this process was paused, and blocks sends until its state has been refreshed. */
 import { Clock, Milliseconds, PartLog, Timeline } from "../internal.js";
 
-/** Time between two tries to learn what happened during a pause. */
-const refreshRetryMilliseconds = 300;
-const tickMilliseconds = 200;
-/** Time without a tick after which this process counts as having been paused. */
-const pausedMilliseconds = 1_200;
+/** Delay between two attempts to refresh the state after a pause. */
+const refreshRetryDelayMilliseconds = 300;
+const tickIntervalMilliseconds = 200;
+/** Time without a tick after which this process counts as paused. */
+const pauseThresholdMilliseconds = 1_200;
 
-/** What the guard works with. */
-export interface PauseGuardParts {
+export interface PauseGuardDependencies {
     clock: Clock;
     log: PartLog;
     timeline: Timeline;
-    /** Tries to learn what happened after `since`; ends within a bound and says whether anybody could tell. */
+    /** Fetches the changes since `since`. Resolves within a bounded time, with whether a source of changes responded. */
     refresh: (since: Milliseconds) => Promise<boolean>;
 }
 
 /**
- * Detects pauses.
+ * Detects pauses by a periodic tick.
  *
- * A process that was stopped for a while wakes with old knowledge and may send at once, to a data centre that was
- * taken out meanwhile; one would notice new work there long after the operator's order. The guard ticks; a send is
- * allowed only shortly after a tick, and a tick that comes late begins a refresh first.
+ * A process that resumes after a pause has stale state. It could immediately send work to a data centre that was taken
+ * out during the pause, long after the operator's order. Sends are therefore allowed only shortly after a tick, and a
+ * late tick blocks sends until the state has been refreshed.
  */
 export class PauseGuard {
-    private tickedAt: Milliseconds;
-    private refreshing = false;
+    private lastTickAt: Milliseconds;
+    private isRefreshing = false;
 
-    constructor(private readonly parts: PauseGuardParts) {
-        this.tickedAt = parts.clock.now();
+    constructor(private readonly dependencies: PauseGuardDependencies) {
+        this.lastTickAt = dependencies.clock.now();
     }
 
-    /** Whether this process has been running all along. Ask in the same synchronous step as a send. */
+    /** Whether this process's state is fresh, so that sends are allowed. Call this in the same synchronous step as a send. */
     fresh(): boolean {
-        return !this.refreshing && this.parts.clock.now() - this.tickedAt < pausedMilliseconds;
+        return !this.isRefreshing && this.dependencies.clock.now() - this.lastTickAt < pauseThresholdMilliseconds;
     }
 
-    /** Ticks until `signal` aborts. */
-    async watch(signal: AbortSignal): Promise<void> {
-        this.tickedAt = this.parts.clock.now();
+    /** Ticks until `signal` aborts, and refreshes the state after each pause. */
+    async monitor(signal: AbortSignal): Promise<void> {
+        this.lastTickAt = this.dependencies.clock.now();
         while (!signal.aborted) {
-            await this.parts.clock.sleep(tickMilliseconds, signal);
-            const now = this.parts.clock.now();
-            const since = this.tickedAt;
+            await this.dependencies.clock.sleep(tickIntervalMilliseconds, signal);
+            const now = this.dependencies.clock.now();
+            const since = this.lastTickAt;
             const pause = now - since;
-            this.tickedAt = now;
-            if (pause >= pausedMilliseconds && !this.refreshing) {
-                this.refreshing = true;
-                this.parts.log.warn("This process was paused.", { milliseconds: Math.round(pause) });
-                this.parts.timeline.record("entry", "paused", undefined, `${Math.round(pause)} ms`);
-                // Not awaited: the ticks must go on, or the refresh itself would look like a pause.
+            this.lastTickAt = now;
+            if (pause >= pauseThresholdMilliseconds && !this.isRefreshing) {
+                this.isRefreshing = true;
+                this.dependencies.log.warn("This process was paused.", { milliseconds: Math.round(pause) });
+                this.dependencies.timeline.record("entry", "paused", undefined, `${Math.round(pause)} ms`);
+                // The refresh isn't awaited: the ticks must continue, or the refresh itself would count as a pause.
                 void this.refresh(since, signal);
             }
         }
     }
 
     private async refresh(since: Milliseconds, signal: AbortSignal): Promise<void> {
-        while (!signal.aborted && !await this.parts.refresh(since)) {
-            await this.parts.clock.sleep(refreshRetryMilliseconds, signal);
+        while (!signal.aborted && !await this.dependencies.refresh(since)) {
+            await this.dependencies.clock.sleep(refreshRetryDelayMilliseconds, signal);
         }
-        this.refreshing = false;
+        this.isRefreshing = false;
     }
 }
--- a/src/core/platformHealth.ts
+++ b/src/core/platformHealth.ts
@@ -1,17 +1,20 @@
-/** Whether the platform answers this entry at present. */
+/**
+ * Detects platform outages from the outcomes of this entry's own calls. Failures must last for a threshold duration, so
+ * that a single lost response doesn't count as an outage.
+ */
 import { Clock, Milliseconds, PlatformError } from "../internal.js";
 
-/** Failures must last this long before the platform counts as down: one lost answer is no outage. */
-const downAfterMilliseconds = 1_000;
+/** How long calls must have failed before the platform counts as unavailable. */
+const outageThresholdMilliseconds = 1_000;
 
-/** Judges the platform by the outcomes of this entry's own calls. */
+/** Tracks whether the platform is available to this entry. */
 export class PlatformHealth {
     private failingSince: Milliseconds | undefined;
 
     constructor(private readonly clock: Clock) {}
 
-    /** Passes a call's outcome on and learns from it. */
-    async watch<Result>(call: Promise<Result>): Promise<Result> {
+    /** Records the outcome of a call and returns or throws it unchanged. */
+    async track<Result>(call: Promise<Result>): Promise<Result> {
         try {
             const result = await call;
             this.failingSince = undefined;
@@ -25,7 +28,7 @@
         }
     }
 
-    get down(): boolean {
-        return this.failingSince !== undefined && this.clock.now() - this.failingSince >= downAfterMilliseconds;
+    get isDown(): boolean {
+        return this.failingSince !== undefined && this.clock.now() - this.failingSince >= outageThresholdMilliseconds;
     }
 }
--- a/src/core/restrictions.ts
+++ b/src/core/restrictions.ts
@@ -1,4 +1,7 @@
-/** Who must not get new work: what operators took out, and what leaves by itself. */
+/**
+ * Decides which instances must not get new work: those that operators took out of service, alone or with their data
+ * centre, and those that are leaving.
+ */
 import {
     ChangeSignal,
     Configuration,
@@ -9,26 +12,26 @@
     Serving,
 } from "../internal.js";
 
-/** Kind of the object that holds the state of a data centre or an instance. */
+/** Kind of the configuration object that stores the serving state of a data centre or an instance. */
 export const servingKindOf = (kind: ProvisionalOut["kind"]): ObjectKind.DataCentre | ObjectKind.Instance =>
     kind === "dataCentre" ? ObjectKind.DataCentre : ObjectKind.Instance;
 
 /**
- * Joins the configuration's outs with provisional ones that spread from peer to peer.
+ * Combines the outs stored in the configuration with provisional outs, which entries send to one another.
  *
- * Operators take a data centre out because it is about to fail, often in the same incident that took the platform
- * down. They would notice crews still being sent there. A provisional out holds at once and everywhere the peers
- * reach, until it is stored or lifted by name. A higher version alone must not end it: an older order to bring the data
- * centre in, written while the platform was slow, can take effect after the out was given.
+ * Operators take a data centre out because it is about to fail, often in the incident that also makes the platform
+ * unavailable, and new work must not go there. A provisional out therefore takes effect at once on all entries that
+ * peers reach, until it is stored or lifted by its identifier. A higher version of the object doesn't end it: an earlier
+ * order to bring the data centre in can be written after the out was given, if the platform was slow.
  */
 export class Restrictions {
-    /** Notified when a provisional out is new. */
+    /** Notified when a provisional out is added. */
     readonly changed = new ChangeSignal();
     private readonly provisional = new Map<string, ProvisionalOut>();
 
     constructor(private readonly configuration: Configuration) {}
 
-    /** Whether an instance of the list may get new work. */
+    /** Whether an instance must not get new work. */
     forbids(record: InstanceRecord): boolean {
         return record.state === InstanceState.Leaving
             || this.isOut("dataCentre", record.dataCentre)
@@ -39,11 +42,11 @@
         return this.configuration.isOut(servingKindOf(kind), name) || this.pendingOf(kind, name).length > 0;
     }
 
-    /** Takes outs from an operator or a peer; returns whether any was new. */
+    /** Adds outs from an operator or a peer. Returns whether any of them was new. */
     add(outs: readonly ProvisionalOut[]): boolean {
         let added = false;
         for (const out of outs) {
-            if (!this.settled(out) && !this.provisional.has(out.outId)) {
+            if (!this.isSettled(out) && !this.provisional.has(out.outId)) {
                 this.provisional.set(out.outId, out);
                 added = true;
             }
@@ -54,17 +57,17 @@
         return added;
     }
 
-    /** The outs that still wait to be written to the platform. */
+    /** The provisional outs that are neither stored nor lifted. */
     pending(): ProvisionalOut[] {
         for (const [outId, out] of this.provisional) {
-            if (this.settled(out)) {
+            if (this.isSettled(out)) {
                 this.provisional.delete(outId);
             }
         }
         return [...this.provisional.values()];
     }
 
-    /** The waiting outs of one data centre or instance. */
+    /** The pending outs of one data centre or instance. */
     pendingOf(kind: ProvisionalOut["kind"], name: string): ProvisionalOut[] {
         if (this.provisional.size === 0) {
             return [];
@@ -72,7 +75,7 @@
         return this.pending().filter(out => out.kind === kind && out.name === name);
     }
 
-    private settled(out: ProvisionalOut): boolean {
+    private isSettled(out: ProvisionalOut): boolean {
         const serving = this.configuration.object(servingKindOf(out.kind), out.name)?.value as Serving | undefined;
         return serving?.change === out.outId || (serving?.lifts ?? []).includes(out.outId);
     }
--- a/src/core/work.ts
+++ b/src/core/work.ts
@@ -1,30 +1,30 @@
-/** One admitted request as the core sees it. */
+/** An admitted request, as queueing, routing and placement use it. */
 import { Deadline, Profile } from "../internal.js";
 
-/** Lanes keep short prompts from waiting behind long ones. */
+/** Queue lanes. Short prompts have their own, so that they don't wait behind long ones. */
 export enum Lane {
     Short = 0,
     Long = 1,
 }
 
-/** What routing and admission need to know of a request. */
+/** The properties of an admitted request that queueing, routing and placement use. */
 export interface Work {
     requestId: string;
     customer: string;
-    /** Share of the customer in the queue. */
+    /** Weight of the customer in the fair queue. */
     weight: number;
     service: string;
     profile: Profile;
     lane: Lane;
     promptTokens: number;
-    /** Memory the request takes at its end: prompt and answer. */
+    /** Memory that the request needs at its end, in tokens: prompt and response. */
     memoryTokens: number;
-    /** Same for equal requests of any caller; names a request that crashes endpoints. */
+    /** Equal for equal requests of all callers. Identifies a request that crashes endpoints. */
     fingerprint: string;
-    /** Whether a second run does no harm. */
+    /** Whether the request may run more than once. */
     idempotent: boolean;
     deadline: Deadline;
-    /** Aborts when the caller went away. */
+    /** Aborts when the caller has disconnected. */
     signal: AbortSignal;
 }
 
--- a/src/ports/peerPort.ts
+++ b/src/ports/peerPort.ts
@@ -1,76 +1,76 @@
-/** What entries say to one another. */
+/** Messages and calls between entries. */
 import { DandelionrampError, InstanceRecord, InstanceState, ObjectPage, SuspectUpdate } from "../internal.js";
 
-/** What an entry tells a peer several times a second. */
+/** Sent to each peer several times a second; the peer returns its own. */
 export interface Heartbeat {
     instance: string;
     incarnation: string;
     state: InstanceState;
-    /** Highest configuration revision this entry holds. */
+    /** Revision of the configuration that the entry holds; 0 while it holds no whole one. */
     configurationRevision: number;
-    /** Data centres and instances taken out by operators and not yet written to the platform. */
+    /** Operators' orders to take data centres and instances out that are not stored in the platform yet. */
     provisionalOuts: ProvisionalOut[];
     suspects: SuspectUpdate[];
-    /** Version of the home table this entry has seen last. */
+    /** Version of the home table that the entry read last. */
     homesVersion: number;
-    /** Whether this entry's platform calls fail at present. */
+    /** Whether the platform is unavailable to the entry. */
     platformDown: boolean;
 }
 
-/** An operator's order to take something out, given while the platform could not be written. */
+/** An operator's order to take a data centre or an instance out of service, until the platform has stored it. */
 export interface ProvisionalOut {
     kind: "dataCentre" | "instance";
     name: string;
-    /** Names this order: it holds until it is stored, or until an order to bring back in lifts it by name. */
+    /** Identifies the order. It is in force until it is stored, or until an order to bring back in lifts it by this id. */
     outId: string;
 }
 
-/** What a peer holds beyond a revision, for one that can't learn it from the platform. */
+/** A peer's configuration changes after a revision, for an entry that hasn't received them from the platform. */
 export interface PeerConfiguration {
     page: ObjectPage;
     loaded: boolean;
     instances: InstanceRecord[];
 }
 
-/** A wish to send one request that only the endpoint's home may let onto it. */
+/** Asks an endpoint's home for permission to send one request to the endpoint. */
 export interface PermitRequest {
     instance: string;
     endpoint: string;
     permitId: string;
-    /** Whether the request was present at a crash and must be alone among such requests. */
+    /** Whether the request was running during a crash. An endpoint runs at most one such request at a time. */
     suspect: boolean;
-    /** Whether the endpoint is cold as far as the asking entry knows. */
+    /** Whether the requesting entry considers the endpoint cold. */
     cold: boolean;
 }
 
-/** Whether the home allows it. */
+/** The home's response to a permit request. */
 export enum PermitDecision {
     Granted = "granted",
     Denied = "denied",
 }
 
-/** State of a claim as its holder knows it. */
+/** Progress of a claim, as reported by its holder. */
 export enum ClaimProgress {
     Running = "running",
-    /** The holder ended it without dispatching: another may take it over. */
+    /** The holder ended the claim without sending its call. Another entry may take the claim over. */
     Released = "released",
-    /** The holder no longer knows of it. */
+    /** The holder has no record of the claim. */
     Unknown = "unknown",
 }
 
-/** What an entry remembers of a key that must not be used twice. */
+/** Whether an entry has seen a claim of a key. */
 export enum KeyHistory {
-    /** A call with this key was sent, or a claim of it was seen. */
+    /** The entry created a claim of the key or found one in the platform. */
     Seen = "seen",
     NotSeen = "notSeen",
-    /** Not seen here, but an entry that may have known died lately. */
+    /** The entry has not seen a claim, but a process that may have seen one ended recently without a planned stop. */
     Incomplete = "incomplete",
 }
 
-/** The peer didn't answer in time. */
+/** The peer didn't respond in time. */
 export class PeerLostError extends DandelionrampError {}
 
-/** Peers by the address of their peer port. Calls end within a bound and throw {@link PeerLostError}. */
+/** Calls to peers by address. Each call ends within a bounded time and throws {@link PeerLostError} if it fails. */
 export interface PeerPort {
     heartbeat(address: string, heartbeat: Heartbeat): Promise<Heartbeat>;
     configurationSince(address: string, revision: number): Promise<PeerConfiguration>;
@@ -78,6 +78,6 @@
     returnPermit(address: string, request: PermitRequest): Promise<void>;
     claimProgress(address: string, claimName: string, nonce: string): Promise<ClaimProgress>;
     keyHistory(address: string, claimName: string): Promise<KeyHistory>;
-    /** Which of `holdingIds` the peer still uses. */
+    /** Returns which of `holdingIds` the peer still uses. */
     liveHoldings(address: string, holdingIds: string[]): Promise<{ incarnation: string; live: string[]; }>;
 }
--- a/src/ports/platformPort.ts
+++ b/src/ports/platformPort.ts
@@ -1,49 +1,49 @@
-/** What the core needs of the platform: objects with versions, watches, and the instance list. */
+/** The platform as the core uses it: versioned objects with conditional writes, watches, and the instance list. */
 import { DandelionrampError, InstanceRecord, ObjectKind } from "../internal.js";
 
-/** An object as stored. `value` is undefined once it was removed. */
+/** A stored object. `value` is undefined if the object was removed. */
 export interface StoredObject {
     kind: ObjectKind;
     name: string;
-    /** The store's revision at the object's last write; it only grows. */
+    /** The store's revision at the object's last write. It never decreases. */
     version: number;
     value: unknown;
 }
 
-/** Objects as of one revision of the store. */
+/** Objects of the store at one revision. */
 export interface ObjectPage {
     revision: number;
     objects: StoredObject[];
 }
 
-/** What became of a conditional write. */
+/** Result of a conditional write. */
 export type WriteOutcome =
     | { type: "Written"; version: number; }
     | { type: "Conflict"; current: StoredObject | undefined; };
 
-/** The platform didn't answer, refused for lack of rate, or its answer was lost. */
+/** The platform didn't respond, rejected the call by its rate limit, or its response was lost. */
 export class PlatformError extends DandelionrampError {
-    /** `mayHaveTakenEffect` is false only when the call certainly changed nothing. */
+    /** `mayHaveTakenEffect` is false only if the call certainly changed nothing. */
     constructor(message: string, readonly mayHaveTakenEffect: boolean, options?: ErrorOptions) {
         super(message, options);
     }
 }
 
-/** Version to expect of an object that must not exist yet. */
+/** Expected version for a write that must create the object. */
 export const absentVersion = 0;
 
-/** The platform. Every call ends within a bound and throws {@link PlatformError}. */
+/** Client of the platform. Each call ends within a bounded time and throws {@link PlatformError} if it fails. */
 export interface PlatformPort {
     read(kind: ObjectKind, name: string): Promise<StoredObject | undefined>;
     list(kinds: readonly ObjectKind[]): Promise<ObjectPage>;
-    /** Writes when the stored version is `expectedVersion`. */
+    /** Writes the object if its stored version is `expectedVersion`. */
     write(kind: ObjectKind, name: string, expectedVersion: number, value: unknown): Promise<WriteOutcome>;
-    /** Removes when the stored version is `expectedVersion`. */
+    /** Removes the object if its stored version is `expectedVersion`. */
     remove(kind: ObjectKind, name: string, expectedVersion: number): Promise<WriteOutcome>;
-    /** Resolves with the changes after `revision`, or with none when the wait runs out. */
+    /** Resolves with the changes after `revision`, or with no objects when the watch times out. */
     watch(kinds: readonly ObjectKind[], revision: number, signal: AbortSignal): Promise<ObjectPage>;
-    /** The instance list, which lags behind the truth. */
+    /** The instance list. It is eventually consistent. */
     instances(): Promise<InstanceRecord[]>;
-    /** Puts this instance on the list or changes its line. */
+    /** Adds this instance's record to the list or replaces it. */
     announce(record: InstanceRecord): Promise<void>;
 }
--- a/src/replay/simulatedEntries.ts
+++ b/src/replay/simulatedEntries.ts
@@ -108,12 +108,12 @@
             endpoints: fleet,
             memory: fleet,
             policy,
-            sharesLoads: shared,
-            repeatLimits: () => repeatLimits,
+            publishesPlacements: shared,
+            retryLimits: () => repeatLimits,
             coldLimits: () => coldLimits,
-            known: () => ({ [StateKind.Endpoints]: this.revision }),
+            knownRevisions: () => ({ [StateKind.Endpoints]: this.revision }),
             readAges: () => ({ [StateKind.Endpoints]: 0 }),
-            reads: () => true,
+            isStoreReachable: () => true,
             stop: () => undefined,
         });
         this.byAddress.set(self.address, entry);
