--- a/__tests__/stops.test.ts
+++ b/__tests__/stops.test.ts
@@ -79,9 +79,9 @@
     const { world, callers, pass, entry } = scene;
     world.platform.faults.down = true;
     await pass(3_000);
-    const told = callers.restrict(entry(1), "out", "dataCentre", "north");
+    const outcome = callers.restrict(entry(1), "out", "dataCentre", "north");
     await sendSteadily(scene, 30);
-    expect(await told).toBe("Provisional");
+    expect(await outcome).toBe("Provisional");
     world.platform.faults.down = false;
     await sendSteadily(scene, 20);
     const stored = world.platform.read("dataCentre" as never, "north");
