--- a/__tests__/forwarding/logs.test.ts
+++ b/__tests__/forwarding/logs.test.ts
@@ -4,7 +4,7 @@
 import { call, generation, Site } from "./support/site.js";
 
 const fixture = () => {
-    const state = { now: 0, lines: [] as string[], waiting: 0 };
+    const state = { now: 0, lines: [] as string[], pendingBytes: 0 };
     const clock = {
         now: () => state.now,
         wallTime: () => state.now,
@@ -13,8 +13,8 @@
     };
     const sink = {
         write: (text: string) => void state.lines.push(text),
-        get waiting() {
-            return state.waiting;
+        get pendingBytes() {
+            return state.pendingBytes;
         },
     };
     return { state, stream: new BoundedLogStream(sink, clock, "entry-1") };
@@ -35,12 +35,12 @@
 test("log consumer stalls", () => {
     // The consumer of the log stops reading. No request may wait for it, and the memory for buffered lines is bounded.
     const { state, stream } = fixture();
-    state.waiting = 2 * 1024 * 1024;
+    state.pendingBytes = 2 * 1024 * 1024;
     for (state.now = 0; state.now < 10_000; state.now += 10) {
         stream.write({ level: 40, msg: "request: A request failed." });
     }
     expect(state.lines).toEqual([]);
-    state.waiting = 0;
+    state.pendingBytes = 0;
     stream.write({ level: 30, msg: "request: Sent." });
     expect(JSON.parse(state.lines[0]!)).toMatchObject({ msg: "log: Lines were dropped.", lines: 1_000 });
     expect(state.lines).toHaveLength(2);
--- a/__tests__/forwarding/settings.test.ts
+++ b/__tests__/forwarding/settings.test.ts
@@ -3,7 +3,7 @@
 import path from "node:path";
 import { expect, test } from "vitest";
 import { forwardingSettingsSchema } from "../../src/adapters/forwarding/entrySettings.js";
-import { nonNegative } from "../../src/utils/numbers.js";
+import { parseNonNegativeNumber } from "../../src/utils/numbers.js";
 import { parseSettings } from "../../src/utils/settings.js";
 
 const template = readFileSync(path.resolve(import.meta.dirname, "../../platform/entry.ini"), "utf8");
@@ -70,7 +70,7 @@
 
 for (const value of ["-1", "ten", "1.", ".5", "1e999", "0x10", "NaN"]) {
     test(`no number: "${value}"`, () => {
-        expect(nonNegative(value)).toBeUndefined();
+        expect(parseNonNegativeNumber(value)).toBeUndefined();
         expect(() => parseFilledTemplate({ "bounds.budget_extra": value })).toThrow(/\[repeats\].*extra/);
     });
 }
--- a/__tests__/settings.test.ts
+++ b/__tests__/settings.test.ts
@@ -1,8 +1,8 @@
-/** Settings: every fault is one line that names file, section and key. */
+/** Each error in the settings is reported as one line that names the file, the section and the key. */
 import { expect, test } from "vitest";
 import { entrySettingsSchema, parseSettings } from "../src/index.js";
 
-const good = `[instance]
+const validSettings = `[instance]
 id = entry-1
 dataCentre = north
 [listen]
@@ -13,7 +13,7 @@
 address = 127.0.0.1:9000
 `;
 
-const faultOf = (text: string): string => {
+const settingsErrorOf = (text: string): string => {
     try {
         parseSettings("entry.ini", text, entrySettingsSchema);
     }
@@ -24,43 +24,47 @@
 };
 
 test("good settings with defaults", () => {
-    const settings = parseSettings("entry.ini", good, entrySettingsSchema);
+    const settings = parseSettings("entry.ini", validSettings, entrySettingsSchema);
     expect(settings.limits.bodyBytes).toBe(16 * 1024 * 1024);
     expect(settings.peers.seeds).toEqual([]);
 });
 
 test("unknown section", () => {
-    expect(faultOf(`${good}[cluster]\nsize = 3\n`)).toBe(
+    expect(settingsErrorOf(`${validSettings}[cluster]\nsize = 3\n`)).toBe(
         "entry.ini: unknown section cluster; expected instance, listen, platform, peers, limits, log",
     );
 });
 
 test("unknown key", () => {
-    expect(faultOf(`${good}adress = 1\n`)).toBe("entry.ini: [platform]: unknown key adress; expected address");
+    expect(settingsErrorOf(`${validSettings}adress = 1\n`)).toBe(
+        "entry.ini: [platform]: unknown key adress; expected address",
+    );
 });
 
 test("wrong type", () => {
-    const fault = faultOf(`${good}[limits]\nbodyBytes = much\n`);
-    expect(fault).toBe("entry.ini: [limits] bodyBytes: expected a whole number of at least 1024");
+    const message = settingsErrorOf(`${validSettings}[limits]\nbodyBytes = much\n`);
+    expect(message).toBe("entry.ini: [limits] bodyBytes: expected a whole number of at least 1024");
 });
 
 test("missing address", () => {
-    const fault = faultOf(good.replace("callers = 127.0.0.1:8080\n", ""));
-    expect(fault).toBe("entry.ini: [listen] callers: expected an address as host:port");
+    const message = settingsErrorOf(validSettings.replace("callers = 127.0.0.1:8080\n", ""));
+    expect(message).toBe("entry.ini: [listen] callers: expected an address as host:port");
 });
 
 test("missing section", () => {
-    const fault = faultOf(good.replace(/\[platform\][^]*/, ""));
-    expect(fault).toBe("entry.ini: [platform]: this section is missing or no section; expected address");
+    const message = settingsErrorOf(validSettings.replace(/\[platform\][^]*/, ""));
+    expect(message).toBe(
+        "entry.ini: [platform]: the section is missing or is a plain key; expected a section with address",
+    );
 });
 
 test("unknown key of a section with defaults", () => {
-    expect(faultOf(`${good}[limits]\nbytes = 5000\n`)).toBe(
+    expect(settingsErrorOf(`${validSettings}[limits]\nbytes = 5000\n`)).toBe(
         "entry.ini: [limits]: unknown key bytes; expected bodyBytes",
     );
 });
 
 test("unknown level", () => {
-    const fault = faultOf(`${good}[log]\nlevel = loud\n`);
-    expect(fault).toBe("entry.ini: [log] level: expected one of debug, info, warn, error");
+    const message = settingsErrorOf(`${validSettings}[log]\nlevel = loud\n`);
+    expect(message).toBe("entry.ini: [log] level: expected one of debug, info, warn, error");
 });
--- a/src/adapters/callers/callerExchange.ts
+++ b/src/adapters/callers/callerExchange.ts
@@ -1,4 +1,4 @@
-/** One caller's request: who asks, until when, and whether the caller is still there. */
+/** One request of a caller: reads its body, authenticates the customer, and determines deadline and idempotency key. */
 import { IncomingMessage, ServerResponse } from "node:http";
 import {
     BodyTooLargeError,
@@ -15,13 +15,13 @@
     sha256,
 } from "../../internal.js";
 
-const timeoutHeader = "x-request-timeout-ms";
-const keyHeader = "idempotency-key";
-const keyCharactersAtMost = 256;
-/** Time a caller gets to send its body: a body that never ends must not hold memory for good. */
-const bodyMilliseconds = 60_000;
+const callerTimeoutHeader = "x-request-timeout-ms";
+const idempotencyKeyHeader = "idempotency-key";
+const maximumIdempotencyKeyLength = 256;
+/** Timeout for the body of a request, so that a body that never ends can't occupy memory indefinitely. */
+const bodyTimeoutMilliseconds = 60_000;
 
-/** A caller's request while it is served. */
+/** A caller's request in progress, and its response. */
 export interface CallerExchange {
     request: IncomingMessage;
     response: ServerResponse;
@@ -29,16 +29,16 @@
     method: string;
     path: string;
     query: string;
-    /** Aborts when the caller goes away before its answer is whole. */
+    /** Aborts when the caller disconnects before the complete response is written. */
     signal: AbortSignal;
 }
 
-/** Opens an exchange. */
+/** Creates the exchange of a request. */
 export const openExchange = (node: EntryNode, request: IncomingMessage, response: ServerResponse): CallerExchange => {
-    const gone = new AbortController();
+    const disconnected = new AbortController();
     response.on("close", () => {
         if (!response.writableFinished) {
-            gone.abort();
+            disconnected.abort();
         }
     });
     const { method, path } = requestTarget(request);
@@ -50,65 +50,71 @@
         method,
         path,
         query: queryStart < 0 ? "" : request.url!.slice(queryStart),
-        signal: gone.signal,
+        signal: disconnected.signal,
     };
 };
 
-const refuse = (kind: FailureKind, detail: string): RequestFailure =>
+const rejection = (kind: FailureKind, detail: string): RequestFailure =>
     new RequestFailure(kind, Execution.NotRun, detail);
 
-/** Name of the customer whose key the request carries. Throws RequestFailure. */
-export const customerOf = (node: EntryNode, exchange: CallerExchange): string => {
+/** Returns the name of the customer that the request's API key belongs to. Throws RequestFailure if there is none. */
+export const authenticateCustomer = (node: EntryNode, exchange: CallerExchange): string => {
     const key = /^Bearer (.+)$/.exec(exchange.request.headers.authorization ?? "")?.[1];
     const customer = key === undefined ? undefined : node.configuration.customerByKeyHash(sha256(key));
     if (customer === undefined) {
-        throw refuse(FailureKind.UnknownCustomer, "Authorization: no customer has this key");
+        throw rejection(FailureKind.UnknownCustomer, "Authorization: missing or unknown API key");
     }
     return customer;
 };
 
-/** The caller's deadline, capped by the profile. Throws RequestFailure for a bad header. */
-export const deadlineOf = (node: EntryNode, exchange: CallerExchange, profile: Profile): Deadline => {
-    const text = exchange.request.headers[timeoutHeader];
+/** Returns the caller's deadline, capped by the profile. Throws RequestFailure for an invalid header. */
+export const callerDeadline = (node: EntryNode, exchange: CallerExchange, profile: Profile): Deadline => {
+    const text = exchange.request.headers[callerTimeoutHeader];
     if (text === undefined) {
         return new Deadline(node.ports.clock, profile.defaultTimeoutMilliseconds);
     }
     if (typeof text !== "string" || !/^[1-9][0-9]{0,8}$/.test(text)) {
-        throw refuse(FailureKind.BadRequest, "X-Request-Timeout-Ms: expected a positive whole number of milliseconds");
+        throw rejection(
+            FailureKind.BadRequest,
+            "X-Request-Timeout-Ms: expected a positive whole number of milliseconds",
+        );
     }
     return new Deadline(node.ports.clock, Math.min(Number(text), profile.maximumTimeoutMilliseconds));
 };
 
-/** The caller's Idempotency-Key, if any. Throws RequestFailure for a bad one. */
+/** Returns the caller's Idempotency-Key, if any. Throws RequestFailure for an invalid one. */
 export const idempotencyKeyOf = (exchange: CallerExchange): string | undefined => {
-    const key = exchange.request.headers[keyHeader];
+    const key = exchange.request.headers[idempotencyKeyHeader];
     if (key === undefined) {
         return undefined;
     }
-    if (typeof key !== "string" || key.length === 0 || key.length > keyCharactersAtMost) {
-        throw refuse(FailureKind.BadRequest, `Idempotency-Key: expected 1 to ${keyCharactersAtMost} characters`);
+    if (typeof key !== "string" || key.length === 0 || key.length > maximumIdempotencyKeyLength) {
+        throw rejection(
+            FailureKind.BadRequest,
+            `Idempotency-Key: expected 1 to ${maximumIdempotencyKeyLength} characters`,
+        );
     }
     return key;
 };
 
-/** Reads the caller's body. Throws RequestFailure over the limit or when the body is cut or too slow. */
-export const bodyOf = async (exchange: CallerExchange, limitBytes: number): Promise<Buffer> => {
-    const timer = setTimeout(() => exchange.request.destroy(), bodyMilliseconds);
+/** Reads the body of the request. Throws RequestFailure if it exceeds the limit, is incomplete, or arrives too slowly. */
+export const readCallerBody = async (exchange: CallerExchange, limitBytes: number): Promise<Buffer> => {
+    const bodyTimer = setTimeout(() => exchange.request.destroy(), bodyTimeoutMilliseconds);
     try {
         return await readBody(exchange.request, limitBytes);
     }
     catch (error) {
         if (error instanceof BodyTooLargeError) {
-            // The rest of the body is never read, so this connection can't carry another request.
+            // The rest of the body is not read, so the connection can't be reused for another request.
             exchange.response.setHeader("connection", "close");
-            throw refuse(FailureKind.BodyTooLarge, error.message);
+            throw rejection(FailureKind.BodyTooLarge, error.message);
         }
         if (error instanceof ExchangeError) {
-            throw refuse(FailureKind.BadRequest, error.message);
+            throw rejection(FailureKind.BadRequest, error.message);
         }
         throw error;
     }
     finally {
-        clearTimeout(timer);
+        clearTimeout(bodyTimer);
     }
 };
--- a/src/adapters/callers/callerServer.ts
+++ b/src/adapters/callers/callerServer.ts
@@ -1,7 +1,6 @@
-/** The callers' port. */
+/** HTTP server for callers. Routes requests to generations and plain services, and sends failures as problem responses. */
 import { IncomingMessage, ServerResponse } from "node:http";
 import {
-    answerSent,
     CallerExchange,
     EntryNode,
     Execution,
@@ -13,40 +12,41 @@
     openExchange,
     PartLog,
     RequestFailure,
+    responseSent,
     sendProblem,
-    serveCall,
     serveGeneration,
     serveModels,
+    serveServiceCall,
 } from "../../internal.js";
 
-/** Settings of the callers' port. */
+/** Options of {@link serveCallers}. */
 export interface CallerServerOptions {
     address: string;
-    /** Largest body in bytes. */
-    bodyLimitBytes: number;
+    /** Size limit for request bodies. */
+    maximumBodyBytes: number;
 }
 
-const notReadyRetrySeconds = 2;
+const notReadyRetryAfterSeconds = 2;
 
-const route = async (node: EntryNode, exchange: CallerExchange, options: CallerServerOptions): Promise<void> => {
+const routeRequest = async (node: EntryNode, exchange: CallerExchange, options: CallerServerOptions): Promise<void> => {
     const { method, path } = exchange;
     if (method === "GET" && path === "/v1/models") {
         serveModels(node, exchange);
         return;
     }
     if (method === "POST" && path === "/v1/chat/completions") {
-        await serveGeneration(node, exchange, GenerationShape.Chat, options.bodyLimitBytes);
+        await serveGeneration(node, exchange, GenerationShape.Chat, options.maximumBodyBytes);
         return;
     }
     if (method === "POST" && path === "/v1/completions") {
-        await serveGeneration(node, exchange, GenerationShape.Completion, options.bodyLimitBytes);
+        await serveGeneration(node, exchange, GenerationShape.Completion, options.maximumBodyBytes);
         return;
     }
     if (path.startsWith("/services/")) {
-        await serveCall(node, exchange, options.bodyLimitBytes);
+        await serveServiceCall(node, exchange, options.maximumBodyBytes);
         return;
     }
-    throw new RequestFailure(FailureKind.UnknownService, Execution.NotRun, `there is no ${method} ${path}`);
+    throw new RequestFailure(FailureKind.UnknownService, Execution.NotRun, `no route for ${method} ${path}`);
 };
 
 const serveExchange = async (
@@ -64,10 +64,10 @@
     node.metrics.count("requests_total");
     try {
         if (!node.ready) {
-            const detail = "this entry has not learned its configuration yet";
-            throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, notReadyRetrySeconds);
+            const detail = "this entry has not loaded its configuration yet";
+            throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, notReadyRetryAfterSeconds);
         }
-        await route(node, exchange, options);
+        await routeRequest(node, exchange, options);
     }
     catch (error) {
         const failure = failureOf(error);
@@ -76,14 +76,14 @@
         sendProblem(response, failure, exchange.requestId);
     }
     finally {
-        // An answer still in this process's buffers would be cut if the entry stopped now.
-        await answerSent(response);
+        // A request stays active until its response has left the buffers of this process; otherwise a shutdown would cut it.
+        await responseSent(response);
         node.activeRequests--;
         node.ports.timeline.record("callers", "ended", exchange.requestId, String(response.statusCode));
     }
 };
 
-/** Serves callers. A request that arrives before `node` is ready is refused with the time to come back. */
+/** Listens for callers. Requests that arrive before `node` is ready are rejected with a Retry-After header. */
 export const serveCallers = (node: EntryNode, options: CallerServerOptions): Promise<Listener> => {
     const log = node.ports.log("callers");
     return listen(options.address, (request, response) => serveExchange(node, request, response, options, log));
--- a/src/adapters/callers/generationRoutes.ts
+++ b/src/adapters/callers/generationRoutes.ts
@@ -1,16 +1,16 @@
-/** Generations for callers: streamed as server-sent events, or whole. */
+/** Routes for generations. A response is streamed as server-sent events or sent as one JSON object. */
 import {
-    AnswerHead,
-    bodyOf,
+    authenticateCustomer,
+    callerDeadline,
     CallerExchange,
-    customerOf,
-    deadlineOf,
+    completeResponse,
+    CompletionMetadata,
     EntryNode,
     Execution,
     FailureKind,
     failureOf,
     fingerprint,
-    GenerationAsk,
+    GenerationParameters,
     GenerationRequest,
     GenerationShape,
     idempotencyKeyOf,
@@ -18,147 +18,155 @@
     laneOf,
     modelList,
     ObjectKind,
-    parseAsk,
+    parseGenerationBody,
     problemOf,
+    readCallerBody,
     RequestFailure,
     ResponseChunk,
     sendJson,
     Service,
     ServiceKind,
     streamChunk,
-    wholeAnswer,
 } from "../../internal.js";
 
-const charactersPerToken = 4;
-const streamEndMark = "data: [DONE]\n\n";
+const estimatedCharactersPerToken = 4;
+const streamEndEvent = "data: [DONE]\n\n";
 
-/** Tokens of a text, as estimated here; engines count for themselves. */
-export const estimateTokens = (text: string): number => Math.max(1, Math.ceil(text.length / charactersPerToken));
+/** Estimates the number of tokens of a text. Engines count the exact number themselves. */
+export const estimateTokens = (text: string): number =>
+    Math.max(1, Math.ceil(text.length / estimatedCharactersPerToken));
 
-/** Answers `GET /v1/models`. */
+/** Serves `GET /v1/models`. */
 export const serveModels = (node: EntryNode, exchange: CallerExchange): void => {
-    customerOf(node, exchange);
+    authenticateCustomer(node, exchange);
     const models = node.configuration.all(ObjectKind.Service)
         .filter(object => (object.value as Service).kind === ServiceKind.Model)
         .map(object => object.name);
     sendJson(exchange.response, 200, modelList(models));
 };
 
-/** Serves one generation to its end. Throws RequestFailure as long as nothing was sent. */
+/** Serves one generation. Throws RequestFailure if it fails before anything was sent. */
 export const serveGeneration = async (
     node: EntryNode,
     exchange: CallerExchange,
     shape: GenerationShape,
-    bodyLimitBytes: number,
+    maximumBodyBytes: number,
 ): Promise<void> => {
-    const customer = customerOf(node, exchange);
-    const ask = parseAsk(shape, await bodyOf(exchange, bodyLimitBytes));
-    const request = generationOf(node, exchange, customer, ask);
-    const head: AnswerHead = {
+    const customer = authenticateCustomer(node, exchange);
+    const parameters = parseGenerationBody(shape, await readCallerBody(exchange, maximumBodyBytes));
+    const request = generationRequest(node, exchange, customer, parameters);
+    const metadata: CompletionMetadata = {
         shape,
         requestId: exchange.requestId,
-        model: ask.model,
+        model: parameters.model,
         createdSeconds: Math.floor(node.ports.clock.wallTime() / 1_000),
     };
     node.ports.timeline.record(
         "callers",
         "admitted",
         exchange.requestId,
-        `${ask.model} ${request.work.promptTokens} tokens`,
+        `${parameters.model} ${request.work.promptTokens} tokens`,
     );
-    const pieces = timed(node, request, node.generations.run(request));
-    if (ask.stream) {
-        await sendStream(node, exchange, head, pieces, request);
+    const chunks = measureFirstToken(node, request, node.generations.run(request));
+    if (parameters.stream) {
+        await sendStream(node, exchange, metadata, chunks, request);
         return;
     }
-    await sendWhole(exchange, head, pieces, request);
+    await sendComplete(exchange, metadata, chunks, request);
 };
 
-const generationOf = (
+const generationRequest = (
     node: EntryNode,
     exchange: CallerExchange,
     customer: string,
-    ask: GenerationAsk,
+    parameters: GenerationParameters,
 ): GenerationRequest => {
-    const service = node.configuration.service(ask.model);
+    const service = node.configuration.service(parameters.model);
     if (!service || service.kind !== ServiceKind.Model) {
-        throw new RequestFailure(FailureKind.UnknownModel, Execution.NotRun, `model: there is no model "${ask.model}"`);
+        throw new RequestFailure(
+            FailureKind.UnknownModel,
+            Execution.NotRun,
+            `model: unknown model "${parameters.model}"`,
+        );
     }
     idempotencyKeyOf(exchange);
     const profile = node.configuration.profileOf(service);
-    const maximumTokens = Math.min(ask.maximumTokens ?? profile.maximumAnswerTokens, profile.maximumAnswerTokens);
-    const promptTokens = estimateTokens(ask.prompt);
+    const maximumTokens = Math.min(
+        parameters.maximumTokens ?? profile.maximumAnswerTokens,
+        profile.maximumAnswerTokens,
+    );
+    const promptTokens = estimateTokens(parameters.prompt);
     return {
         service,
-        prompt: ask.prompt,
+        prompt: parameters.prompt,
         maximumTokens,
         work: {
             requestId: exchange.requestId,
             customer,
             weight: node.configuration.customer(customer)?.weight ?? 1,
-            service: ask.model,
+            service: parameters.model,
             profile,
             lane: laneOf(promptTokens, profile),
             promptTokens,
             memoryTokens: promptTokens + maximumTokens,
-            fingerprint: fingerprint(ask.model, ask.prompt),
+            fingerprint: fingerprint(parameters.model, parameters.prompt),
             idempotent: true,
-            deadline: deadlineOf(node, exchange, profile),
+            deadline: callerDeadline(node, exchange, profile),
             signal: exchange.signal,
         },
     };
 };
 
-/** Passes the pieces on and notes the time to the first. */
-async function* timed(
+/** Forwards the chunks and records the time to first token. */
+async function* measureFirstToken(
     node: EntryNode,
     request: GenerationRequest,
-    pieces: AsyncGenerator<ResponseChunk, void>,
+    chunks: AsyncGenerator<ResponseChunk, void>,
 ): AsyncGenerator<ResponseChunk, void> {
     const startedAt = node.now();
-    let first = true;
-    for await (const piece of pieces) {
-        if (first) {
+    let isFirst = true;
+    for await (const chunk of chunks) {
+        if (isFirst) {
             node.metrics.observe(
                 "first_token_milliseconds",
                 node.now() - startedAt,
                 `lane="${Lane[request.work.lane].toLowerCase()}"`,
             );
             node.ports.timeline.record("callers", "first-token", request.work.requestId);
-            first = false;
+            isFirst = false;
         }
-        yield piece;
+        yield chunk;
     }
 }
 
-const sendWhole = async (
+const sendComplete = async (
     exchange: CallerExchange,
-    head: AnswerHead,
-    pieces: AsyncGenerator<ResponseChunk, void>,
+    metadata: CompletionMetadata,
+    chunks: AsyncGenerator<ResponseChunk, void>,
     request: GenerationRequest,
 ): Promise<void> => {
     const texts: string[] = [];
-    for await (const piece of pieces) {
-        if (piece.type === "Text") {
-            texts.push(piece.text);
+    for await (const chunk of chunks) {
+        if (chunk.type === "Text") {
+            texts.push(chunk.text);
             continue;
         }
-        const usage = { promptTokens: request.work.promptTokens, answerTokens: piece.tokens };
+        const usage = { promptTokens: request.work.promptTokens, answerTokens: chunk.tokens };
         exchange.response.setHeader("x-request-id", exchange.requestId);
-        sendJson(exchange.response, 200, wholeAnswer(head, texts.join(""), piece.finishReason, usage));
+        sendJson(exchange.response, 200, completeResponse(metadata, texts.join(""), chunk.finishReason, usage));
     }
 };
 
 const sendStream = async (
     node: EntryNode,
     exchange: CallerExchange,
-    head: AnswerHead,
-    pieces: AsyncGenerator<ResponseChunk, void>,
+    metadata: CompletionMetadata,
+    chunks: AsyncGenerator<ResponseChunk, void>,
     request: GenerationRequest,
 ): Promise<void> => {
     const { response } = exchange;
     try {
-        for await (const piece of pieces) {
+        for await (const chunk of chunks) {
             if (!response.headersSent) {
                 response.writeHead(200, {
                     "content-type": "text/event-stream",
@@ -166,26 +174,26 @@
                     "x-request-id": exchange.requestId,
                 });
             }
-            const chunk = piece.type === "Text"
-                ? streamChunk(head, piece.text, undefined)
-                : streamChunk(head, "", piece.finishReason);
-            await write(node, exchange, `data: ${JSON.stringify(chunk)}\n\n`, request);
+            const payload = chunk.type === "Text"
+                ? streamChunk(metadata, chunk.text, undefined)
+                : streamChunk(metadata, "", chunk.finishReason);
+            await writeWithBackpressure(node, exchange, `data: ${JSON.stringify(payload)}\n\n`, request);
         }
-        response.end(streamEndMark);
+        response.end(streamEndEvent);
     }
     catch (error) {
         if (!response.headersSent) {
             throw error;
         }
-        // The caller must never take a cut answer for a whole one: an error event, and no end mark.
+        // An error event in place of the end event lets the caller tell an incomplete response from a complete one.
         const failure = failureOf(error);
         node.metrics.count("failures_total", `kind="${failure.kind}"`);
         response.end(`event: error\ndata: ${JSON.stringify(problemOf(failure, exchange.requestId))}\n\n`);
     }
 };
 
-/** Writes and waits while the caller reads too slowly, at most until the deadline. */
-const write = async (
+/** Writes `text` and waits until the caller has read enough. Closes the connection if the deadline expires first. */
+const writeWithBackpressure = async (
     node: EntryNode,
     exchange: CallerExchange,
     text: string,
@@ -195,13 +203,13 @@
     if (response.write(text)) {
         return;
     }
-    const settled = new AbortController();
+    const timer = new AbortController();
     const drained = new Promise<void>(resolve => {
         response.once("drain", resolve);
         response.once("close", resolve);
     });
-    await Promise.race([drained, node.ports.clock.sleep(request.work.deadline.remaining(), settled.signal)]);
-    settled.abort();
+    await Promise.race([drained, node.ports.clock.sleep(request.work.deadline.remaining(), timer.signal)]);
+    timer.abort();
     if (request.work.deadline.expired) {
         response.destroy();
     }
--- a/src/adapters/callers/openaiShapes.ts
+++ b/src/adapters/callers/openaiShapes.ts
@@ -1,32 +1,35 @@
-/** The OpenAI request and answer shapes. */
+/** Request and response formats of the OpenAI API. */
 import * as z from "zod";
 import { Execution, FailureKind, FinishReason, RequestFailure } from "../../internal.js";
 
-const textPart = z.object({ type: z.literal("text"), text: z.string() });
-const message = z.object({
+const textPartSchema = z.object({ type: z.literal("text"), text: z.string() });
+const messageSchema = z.object({
     role: z.string(),
-    content: z.union([z.string(), z.array(textPart)]).nullish(),
+    content: z.union([z.string(), z.array(textPartSchema)]).nullish(),
 });
-const common = {
+const commonFields = {
     model: z.string().min(1),
     stream: z.boolean().nullish(),
     max_tokens: z.number().int().positive().nullish(),
 };
 const chatSchema = z.object({
-    ...common,
-    messages: z.array(message).min(1),
+    ...commonFields,
+    messages: z.array(messageSchema).min(1),
     max_completion_tokens: z.number().int().positive().nullish(),
 });
-const completionSchema = z.object({ ...common, prompt: z.union([z.string(), z.array(z.string()).min(1).max(1)]) });
+const completionSchema = z.object({
+    ...commonFields,
+    prompt: z.union([z.string(), z.array(z.string()).min(1).max(1)]),
+});
 
-/** Which of the two routes a generation came by. */
+/** API format of a generation, which follows from its route. */
 export enum GenerationShape {
     Chat = "chat",
     Completion = "completion",
 }
 
-/** A generation in the terms of this project. */
-export interface GenerationAsk {
+/** Parameters of a generation, independent of its API format. */
+export interface GenerationParameters {
     shape: GenerationShape;
     model: string;
     prompt: string;
@@ -34,7 +37,7 @@
     maximumTokens: number | undefined;
 }
 
-type ChatMessage = z.infer<typeof message>;
+type ChatMessage = z.infer<typeof messageSchema>;
 
 const messageText = (content: ChatMessage["content"]): string => {
     if (typeof content === "string") {
@@ -48,11 +51,11 @@
         return JSON.parse(body.toString("utf8"));
     }
     catch {
-        throw new RequestFailure(FailureKind.BadRequest, Execution.NotRun, "the body is no valid JSON");
+        throw new RequestFailure(FailureKind.BadRequest, Execution.NotRun, "the body is not valid JSON");
     }
 };
 
-const check = <Value>(schema: z.ZodType<Value>, value: unknown): Value => {
+const validate = <Value>(schema: z.ZodType<Value>, value: unknown): Value => {
     const outcome = schema.safeParse(value);
     if (outcome.success) {
         return outcome.data;
@@ -62,11 +65,11 @@
     throw new RequestFailure(FailureKind.BadRequest, Execution.NotRun, detail);
 };
 
-/** Reads a generation's body. Throws RequestFailure that names the field. */
-export const parseAsk = (shape: GenerationShape, body: Buffer): GenerationAsk => {
+/** Parses and validates the body of a generation. Throws a RequestFailure that names the invalid field. */
+export const parseGenerationBody = (shape: GenerationShape, body: Buffer): GenerationParameters => {
     const value = parseJson(body);
     if (shape === GenerationShape.Chat) {
-        const chat = check(chatSchema, value);
+        const chat = validate(chatSchema, value);
         return {
             shape,
             model: chat.model,
@@ -75,7 +78,7 @@
             maximumTokens: chat.max_completion_tokens ?? chat.max_tokens ?? undefined,
         };
     }
-    const completion = check(completionSchema, value);
+    const completion = validate(completionSchema, value);
     return {
         shape,
         model: completion.model,
@@ -85,51 +88,55 @@
     };
 };
 
-/** What all pieces of one answer have in common. */
-export interface AnswerHead {
+/** Fields that all chunks of one response share. */
+export interface CompletionMetadata {
     shape: GenerationShape;
     requestId: string;
     model: string;
     createdSeconds: number;
 }
 
-const identifier = (head: AnswerHead): string =>
-    `${head.shape === GenerationShape.Chat ? "chatcmpl" : "cmpl"}-${head.requestId}`;
+const completionId = (metadata: CompletionMetadata): string =>
+    `${metadata.shape === GenerationShape.Chat ? "chatcmpl" : "cmpl"}-${metadata.requestId}`;
 
-// The OpenAI shape has null here until the answer ends.
+// In the OpenAI format, `finish_reason` is null until the response ends.
 // eslint-disable-next-line no-restricted-syntax
-const notFinished = null;
+const unfinishedReason = null;
 
-/** One streamed chunk; without `finishReason` it carries text. */
-export const streamChunk = (head: AnswerHead, text: string, finishReason: FinishReason | undefined): object => {
-    const finish = finishReason ?? notFinished;
-    const chat = head.shape === GenerationShape.Chat;
+/** Creates a chunk of a streamed response. A chunk without `finishReason` contains text. */
+export const streamChunk = (
+    metadata: CompletionMetadata,
+    text: string,
+    finishReason: FinishReason | undefined,
+): object => {
+    const finish = finishReason ?? unfinishedReason;
+    const isChat = metadata.shape === GenerationShape.Chat;
     const delta = finishReason === undefined ? { role: "assistant", content: text } : {};
     return {
-        id: identifier(head),
-        object: chat ? "chat.completion.chunk" : "text_completion",
-        created: head.createdSeconds,
-        model: head.model,
-        choices: [chat ? { index: 0, delta, finish_reason: finish } : { index: 0, text, finish_reason: finish }],
+        id: completionId(metadata),
+        object: isChat ? "chat.completion.chunk" : "text_completion",
+        created: metadata.createdSeconds,
+        model: metadata.model,
+        choices: [isChat ? { index: 0, delta, finish_reason: finish } : { index: 0, text, finish_reason: finish }],
     };
 };
 
-/** The whole answer of a request that isn't streamed. */
-export const wholeAnswer = (
-    head: AnswerHead,
+/** Creates the response to a request that is not streamed. */
+export const completeResponse = (
+    metadata: CompletionMetadata,
     text: string,
     finishReason: FinishReason,
     usage: { promptTokens: number; answerTokens: number; },
 ): object => {
-    const chat = head.shape === GenerationShape.Chat;
-    const choice = chat
+    const isChat = metadata.shape === GenerationShape.Chat;
+    const choice = isChat
         ? { index: 0, message: { role: "assistant", content: text }, finish_reason: finishReason }
         : { index: 0, text, finish_reason: finishReason };
     return {
-        id: identifier(head),
-        object: chat ? "chat.completion" : "text_completion",
-        created: head.createdSeconds,
-        model: head.model,
+        id: completionId(metadata),
+        object: isChat ? "chat.completion" : "text_completion",
+        created: metadata.createdSeconds,
+        model: metadata.model,
         choices: [choice],
         usage: {
             prompt_tokens: usage.promptTokens,
@@ -139,7 +146,7 @@
     };
 };
 
-/** The list of models. */
+/** Creates the response of `GET /v1/models`. */
 export const modelList = (names: readonly string[]): object => ({
     object: "list",
     data: names.map(id => ({ id, object: "model", created: 0, owned_by: "dandelionramp" })),
--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -1,10 +1,10 @@
-/** Refusals and failures as `application/problem+json`. */
+/** Sends failures to callers as `application/problem+json`. */
 import { ServerResponse } from "node:http";
 import { match } from "ts-pattern";
 import { Execution, FailureKind, RequestFailure } from "../../core/failures.js";
 import { describeError } from "../../utils/errors.js";
 
-/** The object that every refused or failed request answers with. */
+/** Response body of every rejected or failed request. */
 export interface Problem {
     type: string;
     title: string;
@@ -14,12 +14,12 @@
     execution: Execution;
 }
 
-interface Heading {
+interface ProblemHeading {
     status: number;
     title: string;
 }
 
-const headingOf = (kind: FailureKind): Heading =>
+const headingOf = (kind: FailureKind): ProblemHeading =>
     match(kind)
         .with(FailureKind.BadRequest, () => ({ status: 400, title: "Bad request" }))
         .with(FailureKind.BodyTooLarge, () => ({ status: 413, title: "Body over the limit" }))
@@ -46,13 +46,13 @@
         .with(FailureKind.Internal, () => ({ status: 500, title: "Internal error" }))
         .exhaustive();
 
-/** The failure behind any thrown value. An unforeseen one can't promise that nothing ran. */
+/** Converts any thrown value to a failure. After an unexpected error, whether the request ran is unknown. */
 export const failureOf = (error: unknown): RequestFailure =>
     error instanceof RequestFailure
         ? error
         : new RequestFailure(FailureKind.Internal, Execution.Unknown, describeError(error));
 
-/** The problem object of a failure. */
+/** Creates the problem object of a failure. */
 export const problemOf = (failure: RequestFailure, requestId: string): Problem => {
     const { status, title } = headingOf(failure.kind);
     return {
@@ -65,7 +65,7 @@
     };
 };
 
-/** Answers with a problem object. Does nothing once the answer has begun. */
+/** Sends a problem response. Does nothing once the response head has been sent or the connection is closed. */
 export const sendProblem = (response: ServerResponse, failure: RequestFailure, requestId: string): void => {
     if (response.headersSent || response.destroyed) {
         return;
--- a/src/adapters/callers/serviceRoutes.ts
+++ b/src/adapters/callers/serviceRoutes.ts
@@ -1,9 +1,8 @@
-/** Plain services for callers: `ANY /services/{service}/{path}`. */
+/** Route for plain services: `ANY /services/{service}/{path}`. */
 import {
-    bodyOf,
+    authenticateCustomer,
+    callerDeadline,
     CallerExchange,
-    customerOf,
-    deadlineOf,
     EntryNode,
     Execution,
     FailureKind,
@@ -11,25 +10,30 @@
     idempotencyKeyOf,
     Lane,
     Profile,
+    readCallerBody,
     RequestFailure,
     ServiceKind,
 } from "../../internal.js";
 
-const servicePath = /^\/services\/([^/]+)(\/.*)?$/;
-const repeatableMethods = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
-/** Token cost of one call in the fair queue: calls of plain services have no tokens. */
-const callTokens = 100;
+const servicePathPattern = /^\/services\/([^/]+)(\/.*)?$/;
+const idempotentMethods = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
+/** Cost of one call in the fair queue, which counts tokens; calls of plain services have none. */
+const queueCostTokens = 100;
 
 const isNonIdempotent = (profile: Profile, method: string, path: string): boolean =>
     profile.nonIdempotentRoutes.some(route => route.method === method && path.startsWith(route.path));
 
-/** Serves one call of a plain service. Throws RequestFailure. */
-export const serveCall = async (node: EntryNode, exchange: CallerExchange, bodyLimitBytes: number): Promise<void> => {
-    const customer = customerOf(node, exchange);
-    const [, serviceName, path = "/"] = servicePath.exec(exchange.path) ?? [];
+/** Serves one call of a plain service. Throws RequestFailure if it fails. */
+export const serveServiceCall = async (
+    node: EntryNode,
+    exchange: CallerExchange,
+    maximumBodyBytes: number,
+): Promise<void> => {
+    const customer = authenticateCustomer(node, exchange);
+    const [, serviceName, path = "/"] = servicePathPattern.exec(exchange.path) ?? [];
     const service = serviceName === undefined ? undefined : node.configuration.service(serviceName);
     if (serviceName === undefined || !service || service.kind !== ServiceKind.Plain) {
-        const detail = `there is no plain service "${serviceName}"`;
+        const detail = `unknown plain service "${serviceName}"`;
         throw new RequestFailure(FailureKind.UnknownService, Execution.NotRun, detail);
     }
     const profile = node.configuration.profileOf(service);
@@ -37,11 +41,11 @@
     const nonIdempotent = isNonIdempotent(profile, method, path);
     const idempotencyKey = idempotencyKeyOf(exchange);
     if (nonIdempotent && profile.requireIdempotencyKey && idempotencyKey === undefined) {
-        const detail = `Idempotency-Key: ${method} ${path} requires one`;
+        const detail = `Idempotency-Key: missing; required for ${method} ${path}`;
         throw new RequestFailure(FailureKind.KeyRequired, Execution.NotRun, detail);
     }
-    const deadline = deadlineOf(node, exchange, profile);
-    const body = await bodyOf(exchange, bodyLimitBytes);
+    const deadline = callerDeadline(node, exchange, profile);
+    const body = await readCallerBody(exchange, maximumBodyBytes);
     node.ports.timeline.record("callers", "admitted", exchange.requestId, `${method} ${serviceName}${path}`);
     const { answer, replayed } = await node.serviceCalls.run({
         nonIdempotent,
@@ -60,32 +64,32 @@
             service: serviceName,
             profile,
             lane: Lane.Short,
-            promptTokens: callTokens,
+            promptTokens: queueCostTokens,
             memoryTokens: 0,
             fingerprint: fingerprint(serviceName, method, path, body),
-            idempotent: !nonIdempotent && repeatableMethods.has(method),
+            idempotent: !nonIdempotent && idempotentMethods.has(method),
             deadline,
             signal: exchange.signal,
         },
     });
-    sendAnswer(exchange, answer, replayed);
+    sendResponse(exchange, answer, replayed);
 };
 
-const sendAnswer = (
+const sendResponse = (
     exchange: CallerExchange,
-    answer: { status: number; contentType?: string; body: Buffer; },
-    replayed: boolean,
+    response: { status: number; contentType?: string; body: Buffer; },
+    isReplay: boolean,
 ): void => {
     const headers: Record<string, string | number> = {
-        "content-length": answer.body.length,
+        "content-length": response.body.length,
         "x-request-id": exchange.requestId,
     };
-    if (answer.contentType !== undefined) {
-        headers["content-type"] = answer.contentType;
+    if (response.contentType !== undefined) {
+        headers["content-type"] = response.contentType;
     }
-    if (replayed) {
+    if (isReplay) {
         headers["idempotent-replayed"] = "true";
     }
-    exchange.response.writeHead(answer.status, headers);
-    exchange.response.end(answer.body);
+    exchange.response.writeHead(response.status, headers);
+    exchange.response.end(response.body);
 };
--- a/src/adapters/engineClient.ts
+++ b/src/adapters/engineClient.ts
@@ -1,4 +1,4 @@
-/** Model engines over HTTP: the one place that knows their wire format. */
+/** HTTP client for model engines. Only this module depends on their wire format. */
 import {
     Clock,
     describeError,
@@ -20,29 +20,29 @@
     withTimeout,
 } from "../internal.js";
 
-const callMilliseconds = 1_500;
-const refusalLimitBytes = 64 * 1024;
-const lineLimitCharacters = 1024 * 1024;
+const callTimeoutMilliseconds = 1_500;
+const maximumRefusalBytes = 64 * 1024;
+const maximumLineLength = 1024 * 1024;
 
 const parseFrame = (line: string): EngineFrame => {
     try {
         return JSON.parse(line) as EngineFrame;
     }
     catch (error) {
-        throw new EngineLostError("the engine sent a frame that is no JSON", true, { cause: error });
+        throw new EngineLostError("the engine sent a frame that is not valid JSON", true, { cause: error });
     }
 };
 
-/** Splits a body into frames, one JSON line each. Throws {@link EngineLostError} when the connection fails. */
-async function* readFrames(answer: IncomingResponse): AsyncGenerator<EngineFrame, void> {
-    let rest = "";
-    answer.body.setEncoding("utf8");
+/** Parses a body of JSON lines, one frame per line. Throws {@link EngineLostError} if the connection fails. */
+async function* readFrames(response: IncomingResponse): AsyncGenerator<EngineFrame, void> {
+    let incompleteLine = "";
+    response.body.setEncoding("utf8");
     try {
-        for await (const chunk of answer.body as AsyncIterable<string>) {
-            const lines = (rest + chunk).split("\n");
-            rest = lines.pop()!;
-            if (rest.length > lineLimitCharacters) {
-                throw new EngineLostError("the engine sent an endless line", true);
+        for await (const chunk of response.body as AsyncIterable<string>) {
+            const lines = (incompleteLine + chunk).split("\n");
+            incompleteLine = lines.pop()!;
+            if (incompleteLine.length > maximumLineLength) {
+                throw new EngineLostError("the engine sent a line that exceeds the length limit", true);
             }
             for (const line of lines) {
                 yield parseFrame(line);
@@ -56,11 +56,11 @@
         throw new EngineLostError(describeError(error), true, { cause: error });
     }
     finally {
-        answer.body.destroy();
+        response.body.destroy();
     }
 }
 
-/** A client of model engines. */
+/** Sends generations and reservations to model engines. */
 export class EngineClient implements EnginePort {
     constructor(private readonly clock: Clock) {}
 
@@ -76,7 +76,7 @@
     ): Promise<AsyncIterable<EngineFrame>> {
         const body = JSON.stringify(request);
         const headers = { "content-type": "application/json" };
-        return this.open({ address, method: "POST", path: "/streams", headers, body }, opening, signal);
+        return this.openStream({ address, method: "POST", path: "/streams", headers, body }, opening, signal);
     }
 
     resume(
@@ -87,8 +87,8 @@
         signal: AbortSignal,
     ): Promise<AsyncIterable<EngineFrame>> {
         const path = `/streams/${encodeURIComponent(streamId)}?offset=${offset}`;
-        // A kept connection may be one that has gone silent: only a new one tells.
-        return this.open({ address, method: "GET", path, freshConnection: true }, opening, signal);
+        // A pooled connection may be unresponsive. Only a new connection shows whether the engine responds.
+        return this.openStream({ address, method: "GET", path, freshConnection: true }, opening, signal);
     }
 
     async release(address: string, holdingId: string): Promise<void> {
@@ -103,65 +103,65 @@
         return ((await this.call(address, "GET", "/holdings")).value as { holdings: EngineHolding[]; }).holdings;
     }
 
-    private async open(
+    private async openStream(
         request: OutgoingRequest,
         opening: AbortSignal,
         signal: AbortSignal,
     ): Promise<AsyncIterable<EngineFrame>> {
         const connection = new AbortController();
-        const end = () => connection.abort();
-        opening.addEventListener("abort", end, { once: true });
-        signal.addEventListener("abort", end, { once: true });
+        const abortConnection = () => connection.abort();
+        opening.addEventListener("abort", abortConnection, { once: true });
+        signal.addEventListener("abort", abortConnection, { once: true });
         try {
-            const answer = await sendRequest({ ...request, signal: connection.signal });
-            if (answer.status !== 200) {
-                const text = (await readBody(answer.body, refusalLimitBytes)).toString("utf8");
-                throw refusalOf(request.address, answer.status, text);
+            const response = await sendRequest({ ...request, signal: connection.signal });
+            if (response.status !== 200) {
+                const text = (await readBody(response.body, maximumRefusalBytes)).toString("utf8");
+                throw refusalError(request.address, response.status, text);
             }
-            opening.removeEventListener("abort", end);
-            return readFrames(answer);
+            opening.removeEventListener("abort", abortConnection);
+            return readFrames(response);
         }
         catch (error) {
-            throw lostOr(error);
+            throw toEngineError(error);
         }
     }
 
     private async call(address: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
-        let answer: JsonResponse;
+        let response: JsonResponse;
         try {
-            answer = await withTimeout(
+            response = await withTimeout(
                 this.clock,
-                callMilliseconds,
+                callTimeoutMilliseconds,
                 `${method} ${path}`,
                 signal => requestJson({ address, method, path, signal }, value),
             );
         }
         catch (error) {
-            throw lostOr(error);
+            throw toEngineError(error);
         }
-        if (answer.status !== 200) {
-            throw refusalOf(address, answer.status, JSON.stringify(answer.value));
+        if (response.status !== 200) {
+            throw refusalError(address, response.status, JSON.stringify(response.value));
         }
-        return answer;
+        return response;
     }
 }
 
-const refusals = new Set<string>(Object.values(EngineRefusal));
+const knownRefusals = new Set<string>(Object.values(EngineRefusal));
 
-const refusalOf = (address: string, status: number, text: string): EngineRefusedError | EngineLostError => {
+const refusalError = (address: string, status: number, text: string): EngineRefusedError | EngineLostError => {
     try {
         const refusal = (JSON.parse(text) as { refusal?: string; }).refusal;
-        if (refusal !== undefined && refusals.has(refusal)) {
+        if (refusal !== undefined && knownRefusals.has(refusal)) {
             return new EngineRefusedError(refusal as EngineRefusal, address);
         }
     }
     catch {
-        // An answer without a refusal we know is no promise that nothing ran.
+        // Without a known refusal, the response does not guarantee that nothing ran.
     }
-    return new EngineLostError(`${address} answered ${status}`, true);
+    return new EngineLostError(`${address} responded with status ${status}`, true);
 };
 
-const lostOr = (error: unknown): unknown => {
+const toEngineError = (error: unknown): unknown => {
     if (error instanceof EngineLostError || error instanceof EngineRefusedError) {
         return error;
     }
--- a/src/adapters/entry.ts
+++ b/src/adapters/entry.ts
@@ -1,4 +1,7 @@
-/** An entry with its real adapters: the three ports, the platform, endpoints and peers over HTTP. */
+/**
+ * Starts an entry with its HTTP adapters: servers for callers, peers and operators, and clients for the platform, endpoints
+ * and peers.
+ */
 import * as z from "zod";
 import {
     Clock,
@@ -21,9 +24,9 @@
     Timeline,
 } from "../internal.js";
 
-/** Time that open connections get at the end of a planned stop, when no request runs any more. */
-const finishMilliseconds = 2_000;
-const defaultBodyBytes = 16 * 1024 * 1024;
+/** Timeout for open connections at the end of a drain, when no requests are in flight. */
+const connectionDrainMilliseconds = 2_000;
+const defaultMaximumBodyBytes = 16 * 1024 * 1024;
 
 /** Schema of an entry's settings file. */
 export const entrySettingsSchema = z.strictObject({
@@ -31,8 +34,8 @@
     listen: z.strictObject({ callers: setting.address(), peers: setting.address(), operators: setting.address() }),
     platform: z.strictObject({ address: setting.address() }),
     peers: z.strictObject({ seeds: setting.list().default([]) }).default({ seeds: [] }),
-    limits: z.strictObject({ bodyBytes: setting.wholeNumber(1_024).default(defaultBodyBytes) })
-        .default({ bodyBytes: defaultBodyBytes }),
+    limits: z.strictObject({ bodyBytes: setting.wholeNumber(1_024).default(defaultMaximumBodyBytes) })
+        .default({ bodyBytes: defaultMaximumBodyBytes }),
     log: z.strictObject({ level: setting.oneOf(LogLevel).default(LogLevel.Info) }).default({ level: LogLevel.Info }),
 });
 
@@ -46,25 +49,25 @@
     callers: Listener;
     peers: Listener;
     operators: Listener;
-    /** Planned stop: resolves when no request is left and every port is closed. */
+    /** Shuts down gracefully. Resolves when no requests are in flight and all ports are closed. */
     drain(): Promise<void>;
-    /** Stops at once and cuts what runs. */
+    /** Stops immediately and aborts the requests in flight. */
     kill(): Promise<void>;
 }
 
-/** Starts an entry. Rejects when a port can't be had. */
+/** Starts an entry. Rejects if a port is unavailable. */
 export const startEntry = async (
     settings: EntrySettings,
     clock: Clock,
     random: Random,
-    quiet = false,
+    isSilent = false,
 ): Promise<Entry> => {
     const logger = createLogger(settings.instance.id, settings.log.level);
-    const log = (part: string): PartLog => quiet ? silentLog : partLog(logger, part);
+    const log = (part: string): PartLog => isSilent ? silentLog : partLog(logger, part);
     const timeline = new Timeline(settings.instance.id, clock);
-    // The peers' port comes first: its address is announced, and port 0 may have been asked for.
-    const holder: { node?: EntryNode; } = {};
-    const peers = await servePeers(() => holder.node!, settings.listen.peers);
+    // The peer server starts before the node, because the node announces its address and port 0 may have been requested.
+    const nodeReference: { node?: EntryNode; } = {};
+    const peers = await servePeers(() => nodeReference.node!, settings.listen.peers);
     const node = new EntryNode(
         {
             id: settings.instance.id,
@@ -83,15 +86,15 @@
             timeline,
         },
     );
-    holder.node = node;
+    nodeReference.node = node;
     node.start();
     const operators = await serveOperators(node, settings.listen.operators);
     const callers = await serveCallers(node, {
         address: settings.listen.callers,
-        bodyLimitBytes: settings.limits.bodyBytes,
+        maximumBodyBytes: settings.limits.bodyBytes,
     });
     log("entry").info("The entry has started.", { callers: callers.address, operators: operators.address });
-    const close = async () => {
+    const closeListeners = async () => {
         await Promise.all([callers.close(), peers.close(), operators.close()]);
     };
     return {
@@ -102,13 +105,13 @@
         operators,
         drain: async () => {
             await node.drain();
-            await callers.finish(clock, finishMilliseconds);
-            await close();
+            await callers.drain(clock, connectionDrainMilliseconds);
+            await closeListeners();
             log("entry").info("The entry has drained.");
         },
         kill: async () => {
             node.stop();
-            await close();
+            await closeListeners();
         },
     };
 };
--- a/src/adapters/forwarding/entrySettings.ts
+++ b/src/adapters/forwarding/entrySettings.ts
@@ -2,13 +2,13 @@
 import * as z from "zod";
 import { PlacementPolicy } from "../../types/routing.js";
 import { LogLevel } from "../../utils/log.js";
-import { nonNegative } from "../../utils/numbers.js";
+import { parseNonNegativeNumber } from "../../utils/numbers.js";
 import { setting } from "../../utils/settings.js";
 
 /** A number of at least 0; an empty value, where the platform sets no bound, gives `defaultValue`. */
 const numberOrDefault = (defaultValue: number) =>
     z.string("expected a number of at least 0")
-        .refine(text => text === "" || nonNegative(text) !== undefined, "expected a number of at least 0")
+        .refine(text => text === "" || parseNonNegativeNumber(text) !== undefined, "expected a number of at least 0")
         .transform(text => text === "" ? defaultValue : Number(text));
 
 /** Defaults where a platform sets no bound: the retry budget of the smallest current site, and no excess for cold endpoints. */
--- a/src/adapters/operatorServer.ts
+++ b/src/adapters/operatorServer.ts
@@ -1,4 +1,7 @@
-/** The operators' port: health, metrics, time line, and orders. */
+/**
+ * HTTP server for operators: health checks, metrics, status, timeline, changes of configuration objects, and orders that take
+ * instances and data centres out or back in.
+ */
 import { IncomingMessage, ServerResponse } from "node:http";
 import * as z from "zod";
 import {
@@ -17,32 +20,32 @@
     sendJson,
 } from "../internal.js";
 
-const bodyLimitBytes = 1024 * 1024;
+const maximumBodyBytes = 1024 * 1024;
 const changeSchema = z.strictObject({
-    /** A missing value removes the object. */
+    /** An omitted value removes the object. */
     value: z.unknown().optional(),
     expectedVersion: z.number().int().min(0).optional(),
 });
-const objectPath = /^\/objects\/([A-Za-z]+)(?:\/([^/]+))?$/;
-const restrictionPath = /^\/(out|in)\/(dataCentre|instance)\/([^/]+)$/;
+const objectPathPattern = /^\/objects\/([A-Za-z]+)(?:\/([^/]+))?$/;
+const restrictionPathPattern = /^\/(out|in)\/(dataCentre|instance)\/([^/]+)$/;
 
-const changeStatus = (outcome: ChangeOutcome): number =>
+const statusOfChange = (outcome: ChangeOutcome): number =>
     outcome.type === "Conflict" ? 409 : outcome.type === "Provisional" ? 202 : 200;
 
-const kindOf = (text: string): ObjectKind | undefined => configurationKinds.find(kind => kind === text);
+const configurationKindOf = (text: string): ObjectKind | undefined => configurationKinds.find(kind => kind === text);
 
 const readChange = async (request: IncomingMessage): Promise<z.infer<typeof changeSchema>> => {
-    const text = (await readBody(request, bodyLimitBytes)).toString("utf8");
+    const text = (await readBody(request, maximumBodyBytes)).toString("utf8");
     try {
         return changeSchema.parse(JSON.parse(text));
     }
     catch (error) {
-        throw new InvalidObjectError(`the order is no valid change: ${describeError(error)}`, { cause: error });
+        throw new InvalidObjectError(`invalid change: ${describeError(error)}`, { cause: error });
     }
 };
 
-/** What `dandelionramp status` shows. */
-const statusOf = (node: EntryNode): object => ({
+/** The report that `dandelionramp status` prints. */
+const statusReport = (node: EntryNode): object => ({
     instance: node.identity.id,
     incarnation: node.incarnation,
     dataCentre: node.identity.dataCentre,
@@ -94,15 +97,15 @@
     }
     if (request.method === "GET") {
         const object = node.configuration.object(kind, name);
-        sendJson(response, object ? 200 : 404, object ?? { error: `there is no ${kind} "${name}"` });
+        sendJson(response, object ? 200 : 404, object ?? { error: `${kind} "${name}" not found` });
         return;
     }
     const { value, expectedVersion } = await readChange(request);
     const outcome = await node.operations.change(kind, name, value, expectedVersion);
-    sendJson(response, changeStatus(outcome), outcome);
+    sendJson(response, statusOfChange(outcome), outcome);
 };
 
-const route = async (node: EntryNode, request: IncomingMessage, response: ServerResponse): Promise<void> => {
+const routeRequest = async (node: EntryNode, request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const { method, path, query } = requestTarget(request);
     if (path === "/healthz") {
         sendJson(response, 200, { alive: true });
@@ -117,32 +120,34 @@
         return;
     }
     if (path === "/status") {
-        sendJson(response, 200, statusOf(node));
+        sendJson(response, 200, statusReport(node));
         return;
     }
     if (path === "/events") {
         sendJson(response, 200, node.ports.timeline.page(Number(query.get("from") ?? 0)));
         return;
     }
-    const restriction = restrictionPath.exec(path);
+    const restriction = restrictionPathPattern.exec(path);
     if (restriction && method === "POST") {
         const [, direction, kind, name] = restriction as unknown as [string, string, "dataCentre" | "instance", string];
         const outcome = direction === "out"
             ? await node.operations.takeOut(kind, decodeURIComponent(name))
             : await node.operations.bringIn(kind, decodeURIComponent(name));
-        sendJson(response, changeStatus(outcome), outcome);
+        sendJson(response, statusOfChange(outcome), outcome);
         return;
     }
-    const [, kindText = "", name] = objectPath.exec(path) ?? [];
-    const kind = kindOf(kindText);
+    const [, kindText = "", name] = objectPathPattern.exec(path) ?? [];
+    const kind = configurationKindOf(kindText);
     if (kind) {
         await serveObject(node, request, response, kind, name && decodeURIComponent(name));
         return;
     }
-    sendJson(response, 404, { error: `there is no ${method} ${path}; kinds are ${configurationKinds.join(", ")}` });
+    sendJson(response, 404, {
+        error: `no route for ${method} ${path}; object kinds are ${configurationKinds.join(", ")}`,
+    });
 };
 
-const answerError = (response: ServerResponse, error: unknown): void => {
+const sendError = (response: ServerResponse, error: unknown): void => {
     if (error instanceof InvalidObjectError || error instanceof BodyTooLargeError) {
         sendJson(response, 400, { error: error.message });
         return;
@@ -154,13 +159,13 @@
     sendJson(response, 500, { error: describeError(error) });
 };
 
-/** Serves operators of `node` at `address`. */
+/** Listens at `address` for operators of `node`. */
 export const serveOperators = (node: EntryNode, address: string): Promise<Listener> =>
     listen(address, async (request, response) => {
         try {
-            await route(node, request, response);
+            await routeRequest(node, request, response);
         }
         catch (error) {
-            answerError(response, error);
+            sendError(response, error);
         }
     });
--- a/src/adapters/peerClient.ts
+++ b/src/adapters/peerClient.ts
@@ -1,4 +1,4 @@
-/** Calls to peers, as JSON-RPC 2.0 over HTTP. */
+/** Calls methods of peers by JSON-RPC 2.0 over HTTP. */
 import { JSONRPCClient, JSONRPCResponse } from "json-rpc-2.0";
 import {
     ClaimProgress,
@@ -16,11 +16,11 @@
     withTimeout,
 } from "../internal.js";
 
-const callMilliseconds = 800;
+const callTimeoutMilliseconds = 800;
 
-/** A client of peers. */
+/** Client for the RPC methods of peers. */
 export class PeerClient implements PeerPort {
-    private readonly clients = new Map<string, JSONRPCClient>();
+    private readonly clientByAddress = new Map<string, JSONRPCClient>();
 
     constructor(private readonly clock: Clock) {}
 
@@ -56,8 +56,8 @@
         try {
             return await withTimeout(
                 this.clock,
-                callMilliseconds,
-                `the peer's ${method}`,
+                callTimeoutMilliseconds,
+                `the peer call ${method}`,
                 async () => await this.clientOf(address).request(method, parameters) as Result,
             );
         }
@@ -67,23 +67,23 @@
     }
 
     private clientOf(address: string): JSONRPCClient {
-        let client = this.clients.get(address);
+        let client = this.clientByAddress.get(address);
         if (!client) {
-            client = this.newClient(address);
-            this.clients.set(address, client);
+            client = this.createClient(address);
+            this.clientByAddress.set(address, client);
         }
         return client;
     }
 
-    private newClient(address: string): JSONRPCClient {
+    private createClient(address: string): JSONRPCClient {
         const client: JSONRPCClient = new JSONRPCClient(async payload => {
-            const answer = await withTimeout(
+            const response = await withTimeout(
                 this.clock,
-                callMilliseconds,
-                "a peer",
+                callTimeoutMilliseconds,
+                "the HTTP exchange with a peer",
                 signal => requestJson({ address, method: "POST", path: "/rpc", signal }, payload),
             );
-            client.receive(answer.value as JSONRPCResponse);
+            client.receive(response.value as JSONRPCResponse);
         });
         return client;
     }
--- a/src/adapters/peerServer.ts
+++ b/src/adapters/peerServer.ts
@@ -1,10 +1,10 @@
-/** The peers' port: JSON-RPC 2.0 over HTTP. */
+/** Serves the methods that peers call, by JSON-RPC 2.0 over HTTP. */
 import { JSONRPCRequest, JSONRPCServer } from "json-rpc-2.0";
 import { EntryNode, Heartbeat, listen, Listener, PermitRequest, readBody, sendJson } from "../internal.js";
 
-const bodyLimitBytes = 8 * 1024 * 1024;
+const maximumBodyBytes = 8 * 1024 * 1024;
 
-/** Methods that entries offer one another. */
+/** RPC methods between entries. */
 export enum PeerMethod {
     Heartbeat = "heartbeat",
     ConfigurationSince = "configurationSince",
@@ -15,7 +15,7 @@
     LiveHoldings = "liveHoldings",
 }
 
-const newServer = (node: EntryNode): JSONRPCServer => {
+const createRpcServer = (node: EntryNode): JSONRPCServer => {
     const server = new JSONRPCServer();
     server.addMethod(PeerMethod.Heartbeat, ({ heartbeat }: { heartbeat: Heartbeat; }) => {
         node.heardFrom(heartbeat);
@@ -48,13 +48,13 @@
     return server;
 };
 
-/** Serves peers of `node` at `address`. */
-export const servePeers = (node: () => EntryNode, address: string): Promise<Listener> => {
+/** Listens at `address` for peers. `getNode` is called with the first request, because the node starts after this server. */
+export const servePeers = (getNode: () => EntryNode, address: string): Promise<Listener> => {
     let server: JSONRPCServer | undefined;
     return listen(address, async (request, response) => {
-        const text = (await readBody(request, bodyLimitBytes)).toString("utf8");
-        server ??= newServer(node());
-        const answer = await server.receive(JSON.parse(text) as JSONRPCRequest);
-        sendJson(response, 200, answer);
+        const text = (await readBody(request, maximumBodyBytes)).toString("utf8");
+        server ??= createRpcServer(getNode());
+        const rpcResponse = await server.receive(JSON.parse(text) as JSONRPCRequest);
+        sendJson(response, 200, rpcResponse);
     });
 };
--- a/src/adapters/serviceClient.ts
+++ b/src/adapters/serviceClient.ts
@@ -1,4 +1,4 @@
-/** Plain services over HTTP. */
+/** HTTP client for plain services. */
 import {
     BodyTooLargeError,
     Clock,
@@ -16,10 +16,10 @@
     withTimeout,
 } from "../internal.js";
 
-const reportMillisecondsAtMost = 1_500;
-const answerLimitBytes = 16 * 1024 * 1024;
-/** Header by which a service says that it refused before running. */
-const refusedHeader = "x-not-run";
+const reportTimeoutMilliseconds = 1_500;
+const maximumResponseBytes = 16 * 1024 * 1024;
+/** Response header of a service that has rejected a request without running it. */
+const notRunHeader = "x-not-run";
 
 const outgoingHeaders = (request: ServiceRequest): Record<string, string> => {
     const headers: Record<string, string> = { "x-request-id": request.requestId };
@@ -32,26 +32,26 @@
     return headers;
 };
 
-/** A client of plain services. */
+/** Sends calls to plain services and fetches their load reports. */
 export class ServiceClient implements ServicePort {
     constructor(private readonly clock: Clock) {}
 
     async report(address: string): Promise<EndpointReport> {
-        const answer = await withTimeout(
+        const response = await withTimeout(
             this.clock,
-            reportMillisecondsAtMost,
-            "a service's report",
+            reportTimeoutMilliseconds,
+            "the load report of a service",
             signal => requestJson({ address, method: "GET", path: "/report", signal }),
         );
-        if (answer.status !== 200) {
-            throw new ServiceLostError(`${address} answered ${answer.status}`, true);
+        if (response.status !== 200) {
+            throw new ServiceLostError(`${address} responded with status ${response.status}`, true);
         }
-        return answer.value as EndpointReport;
+        return response.value as EndpointReport;
     }
 
     async call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
         try {
-            const answer = await sendRequest({
+            const response = await sendRequest({
                 address,
                 method: request.method,
                 path: request.path,
@@ -60,19 +60,19 @@
                 signal,
                 freshConnection: true,
             });
-            const body = await readBody(answer.body, answerLimitBytes);
-            if (answer.status === 503 && answer.headers[refusedHeader] === "true") {
-                throw new ServiceRefusedError(`${address} refused before running`);
+            const body = await readBody(response.body, maximumResponseBytes);
+            if (response.status === 503 && response.headers[notRunHeader] === "true") {
+                throw new ServiceRefusedError(`${address} rejected the request without running it`);
             }
-            return { status: answer.status, contentType: answer.headers["content-type"], body };
+            return { status: response.status, contentType: response.headers["content-type"], body };
         }
         catch (error) {
-            throw turned(error);
+            throw toServiceError(error);
         }
     }
 }
 
-const turned = (error: unknown): unknown => {
+const toServiceError = (error: unknown): unknown => {
     if (error instanceof ExchangeError) {
         return new ServiceLostError(error.message, error.written, { cause: error });
     }
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The public entry: what a program that embeds an entry or the stand-ins needs. */
+/** Public API for programs that embed an entry. */
 export {
     type Clock,
     type Entry,
--- a/src/internal.ts
+++ b/src/internal.ts
@@ -1,4 +1,7 @@
-/** The one module through which all others meet. The order matters: base classes come before what extends them. */
+/**
+ * Re-exports all modules, which import each other from here to avoid circular imports. The order matters: a base class must
+ * be loaded before its subclasses.
+ */
 export * from "./utils/errors.js";
 export * from "./utils/clock.js";
 export * from "./utils/signal.js";
--- a/src/replay/pattern.ts
+++ b/src/replay/pattern.ts
@@ -1,18 +1,19 @@
 /** Load patterns: what arrives, on which engines, and what fails when. Read from INI. */
 import * as z from "zod";
 import type { EngineProfile } from "../types/routing.js";
-import { nonNegative } from "../utils/numbers.js";
+import { parseNonNegativeNumber } from "../utils/numbers.js";
 import { readSettings, setting } from "../utils/settings.js";
 
 const expected = "expected a number of at least 0";
 
-const number = () => z.string(expected).refine(text => nonNegative(text) !== undefined, expected).transform(Number);
+const number = () =>
+    z.string(expected).refine(text => parseNonNegativeNumber(text) !== undefined, expected).transform(Number);
 
 const optional = (usual: number) => number().prefault(String(usual));
 
 const share = () =>
     z.string("expected a number from 0 to 1")
-        .refine(text => (nonNegative(text) ?? 2) <= 1, "expected a number from 0 to 1")
+        .refine(text => (parseNonNegativeNumber(text) ?? 2) <= 1, "expected a number from 0 to 1")
         .transform(Number);
 
 /** What happens to endpoints, or to entries. */
--- a/src/types/endpoints.ts
+++ b/src/types/endpoints.ts
@@ -1,57 +1,57 @@
-/** Instances and endpoints as the platform and the endpoints themselves describe them. */
+/** Instances in the platform's list, and what endpoints report about themselves. */
 import { Milliseconds } from "../internal.js";
 
-/** What an instance of the platform's list runs. */
+/** Kind of process that an instance runs. */
 export enum InstanceRole {
     Entry = "entry",
     Engine = "engine",
     PlainService = "plainService",
 }
 
-/** What the platform's list says of an instance. */
+/** State of an instance in the platform's list. */
 export enum InstanceState {
     Live = "live",
     Leaving = "leaving",
 }
 
-/** One line of the platform's lagging instance list. */
+/** One record of the platform's instance list, which lags behind the actual state. */
 export interface InstanceRecord {
     id: string;
     role: InstanceRole;
     dataCentre: string;
-    /** Where requests go: an engine's or service's port, or an entry's peer port. */
+    /** Address for requests: the port of an engine or a service, or the peer port of an entry. */
     address: string;
-    /** Changes with each start of the instance's process. */
+    /** Changes with each start of the process. */
     incarnation: string;
     state: InstanceState;
-    /** The service an endpoint belongs to. */
+    /** The service that an endpoint belongs to. */
     service?: string;
 }
 
-/** How warm an endpoint says it is. */
+/** Whether an endpoint reports that its cold start is over. */
 export enum EndpointTemperature {
     Cold = "cold",
     Warm = "warm",
 }
 
-/** An endpoint's own report of its load; it lags behind the truth. */
+/** Load that an endpoint reports. The report lags behind the actual load. */
 export interface EndpointReport {
     incarnation: string;
     temperature: EndpointTemperature;
     running: number;
     memoryCapacityTokens: number;
     memoryUsedTokens: number;
-    /** Prompt tokens accepted and not yet prefilled. */
+    /** Prompt tokens that are accepted but not prefilled yet. */
     waitingPromptTokens: number;
     prefillTokensPerSecond: number;
     decodeStepMilliseconds: Milliseconds;
 }
 
-/** Something an engine holds for somebody: a stream, or a reservation of memory. */
+/** A resource that an engine holds for an entry: a stream, or a reservation of memory. */
 export interface EngineHolding {
     id: string;
     kind: "stream" | "reservation";
-    /** The entry that asked for it. */
+    /** The entry that requested the stream or reservation. */
     owner: string;
     ownerIncarnation: string;
     tokens: number;
--- a/src/types/objects.ts
+++ b/src/types/objects.ts
@@ -1,8 +1,8 @@
-/** The objects that live in the platform's object API, checked wherever they enter. */
+/** Schemas of the objects in the platform's object API. Each configuration object is validated where an entry receives it. */
 import * as z from "zod";
 import { DandelionrampError } from "../internal.js";
 
-/** Kinds of objects. */
+/** Kinds of stored objects. */
 export enum ObjectKind {
     Profile = "profile",
     Service = "service",
@@ -14,7 +14,7 @@
     Suspect = "suspect",
 }
 
-/** Kinds that make up the configuration: operators write them, every entry holds them all. */
+/** Kinds that make up the configuration. Operators write these objects, and every entry holds all of them. */
 export const configurationKinds: readonly ObjectKind[] = [
     ObjectKind.Profile,
     ObjectKind.Service,
@@ -25,98 +25,98 @@
 
 /** How requests are placed on endpoints. */
 export enum RoutingPolicy {
-    /** Each endpoint in turn: a baseline. */
+    /** Each endpoint in turn, as a baseline for comparison. */
     RoundRobin = "roundRobin",
-    /** The endpoint with the fewest requests in flight: a baseline. */
+    /** The endpoint with the fewest requests in flight, as a baseline for comparison. */
     LeastLoaded = "leastLoaded",
-    /** Lanes by predicted prefill work; short prompts first. */
+    /** Separate lanes for short and long prompts by predicted prefill work; short prompts first. */
     ShortFirst = "shortFirst",
 }
 
-/** What a service consists of. */
+/** Kind of endpoints behind a service. */
 export enum ServiceKind {
     Model = "model",
     Plain = "plain",
 }
 
-/** Whether a data centre or an instance takes new work. */
+/** Whether a data centre or an instance accepts new requests. */
 export enum ServingState {
     In = "in",
     Out = "out",
 }
 
-/** Identifies the write itself; set by the entry that writes, to find its own write again after a lost answer. */
-const change = z.string().optional();
-const positive = z.number().int().positive();
-const name = z.string().regex(
+/** Identifies one write. The entry that writes sets it, to recognize its own write after a lost response. */
+const changeIdentifier = z.string().optional();
+const positiveInteger = z.number().int().positive();
+const nameSchema = z.string().regex(
     /^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/,
-    "expected letters, digits, dots, dashes, at most 100",
+    "expected at most 100 letters, digits, dots, underscores or dashes, with a letter or digit first",
 );
 
 const routeSchema = z.strictObject({
     method: z.string().regex(/^[A-Z]+$/),
-    /** A path below the service, compared from its start. */
+    /** Prefix of the path below the service. */
     path: z.string().startsWith("/"),
 });
 
 const profileSchema = z.strictObject({
-    change,
+    change: changeIdentifier,
     policy: z.enum(RoutingPolicy).default(RoutingPolicy.ShortFirst),
-    defaultTimeoutMilliseconds: positive.default(60_000),
-    maximumTimeoutMilliseconds: positive.default(600_000),
-    /** Prompts up to this many tokens go in the short lane. */
-    shortPromptTokens: positive.default(8_000),
-    /** Prompt tokens of the long lane that may be in flight on one endpoint at a time. */
-    longTokensInFlight: positive.default(400_000),
-    /** Requests that an endpoint in cold start bears at once. */
-    coldConcurrency: positive.default(1),
-    /** Requests that one warm endpoint takes at once. */
-    warmConcurrency: positive.default(64),
-    /** Silence on a stream after which its connection is no longer trusted. */
-    silenceMilliseconds: positive.default(2_000),
-    /** Retries allowed, as a share of first attempts. */
+    defaultTimeoutMilliseconds: positiveInteger.default(60_000),
+    maximumTimeoutMilliseconds: positiveInteger.default(600_000),
+    /** Prompts with at most this many tokens use the short lane. */
+    shortPromptTokens: positiveInteger.default(8_000),
+    /** Limit on the prompt tokens of the long lane in flight on one endpoint. */
+    longTokensInFlight: positiveInteger.default(400_000),
+    /** Limit on the concurrent requests of an endpoint during its cold start. */
+    coldConcurrency: positiveInteger.default(1),
+    /** Limit on the concurrent requests of a warm endpoint. */
+    warmConcurrency: positiveInteger.default(64),
+    /** A stream that sends nothing for this long is stalled, and its connection is replaced. */
+    silenceMilliseconds: positiveInteger.default(2_000),
+    /** Retry budget, as a fraction of first attempts. */
     retryShare: z.number().min(0).max(1).default(0.1),
-    maximumAnswerTokens: positive.default(4_096),
+    maximumAnswerTokens: positiveInteger.default(4_096),
     nonIdempotentRoutes: z.array(routeSchema).default([]),
     requireIdempotencyKey: z.boolean().default(false),
 });
 
 const serviceSchema = z.strictObject({
-    change,
+    change: changeIdentifier,
     kind: z.enum(ServiceKind),
-    profile: name,
-    /** Engines that hold one prompt together when it is larger than one engine. */
+    profile: nameSchema,
+    /** Number of engines that share a prompt which exceeds the memory of one engine. */
     gangSize: z.number().int().min(1).max(8).default(3),
 });
 
 const customerSchema = z.strictObject({
-    change,
-    /** SHA-256 of each key, in hexadecimal: keys themselves are never stored. */
+    change: changeIdentifier,
+    /** SHA-256 of each key, in hexadecimal. The keys themselves are never stored. */
     keyHashes: z.array(z.string().regex(/^[0-9a-f]{64}$/)).min(1),
-    /** Share of the service when customers compete. */
+    /** Relative share of a service when customers compete for it. */
     weight: z.number().positive().max(1_000).default(1),
 });
 
 const servingStateSchema = z.strictObject({
-    change,
+    change: changeIdentifier,
     state: z.enum(ServingState),
-    /** Outs that orders to bring back in have lifted, the newest last; set by the entry that writes. */
+    /** Identifiers of outs that operators have lifted, newest last. The entry that writes the object sets them. */
     lifts: z.array(z.string()).optional(),
 });
 
-/** A named set of rules that services run under. */
+/** A named set of limits and rules for services. */
 export type Profile = z.infer<typeof profileSchema>;
-/** A service: a model or a plain service. */
+/** A model service or a plain service. */
 export type Service = z.infer<typeof serviceSchema>;
 /** A customer and its keys. */
 export type Customer = z.infer<typeof customerSchema>;
-/** Whether a data centre or an instance takes new work. */
+/** Whether a data centre or an instance accepts new requests. */
 export type Serving = z.infer<typeof servingStateSchema>;
 
-/** A configuration object that breaks its schema; the message names the object and the field. */
+/** A configuration object violates its schema. The message names the object and the field. */
 export class InvalidObjectError extends DandelionrampError {}
 
-const schemas: Partial<Record<ObjectKind, z.ZodType>> = {
+const schemaByKind: Partial<Record<ObjectKind, z.ZodType>> = {
     [ObjectKind.Profile]: profileSchema,
     [ObjectKind.Service]: serviceSchema,
     [ObjectKind.Customer]: customerSchema,
@@ -124,14 +124,14 @@
     [ObjectKind.Instance]: servingStateSchema,
 };
 
-/** Checks a configuration object and fills in defaults. Throws {@link InvalidObjectError}. */
+/** Validates a configuration object and fills in defaults. Throws {@link InvalidObjectError}. */
 export const parseConfigurationObject = (kind: ObjectKind, objectName: string, value: unknown): unknown => {
-    const schema = schemas[kind];
+    const schema = schemaByKind[kind];
     if (!schema) {
         throw new InvalidObjectError(`${kind}: operators can't write objects of this kind`);
     }
-    if (!name.safeParse(objectName).success) {
-        throw new InvalidObjectError(`${kind}: "${objectName}" is no valid name`);
+    if (!nameSchema.safeParse(objectName).success) {
+        throw new InvalidObjectError(`${kind}: "${objectName}" is not a valid name`);
     }
     const outcome = schema.safeParse(value);
     if (outcome.success) {
@@ -142,5 +142,5 @@
     throw new InvalidObjectError(`${kind} "${objectName}": ${field}: ${issue.message}`);
 };
 
-/** The profile that applies where none is configured. */
+/** Profile of services whose profile is not configured. */
 export const defaultProfile: Profile = profileSchema.parse({});
--- a/src/types/routing.ts
+++ b/src/types/routing.ts
@@ -1,65 +1,65 @@
-/** Configuration of routes, services and customers, and the endpoints behind them, in the project's own words. */
+/** Configuration of routes, services and customers, and the records of endpoints, independent of the platform's formats. */
 import type { Milliseconds } from "../utils/clock.js";
 
-/** What may be repeated on a route. */
+/** Kind of the requests on a route, which determines whether an attempt may be retried. */
 export enum RequestKind {
     Idempotent = "idempotent",
     NonIdempotent = "nonIdempotent",
-    /** Answers with a series of events. */
+    /** The response is a stream of events. */
     Streaming = "streaming",
 }
 
-/** A service that a route sends to, with its share of the requests. */
+/** A service that a route forwards to, with its share of the requests. */
 export interface ServiceShare {
     service: string;
-    /** Relative to the route's other shares. */
+    /** Relative to the weights of the route's other shares. */
     weight: number;
 }
 
-/** Where the requests of a host under a path prefix go, and how. */
+/** How requests for a host and path prefix are forwarded. */
 export interface Route {
     name: string;
     host: string;
-    /** Begins and ends with a slash. */
+    /** Starts and ends with a slash. */
     pathPrefix: string;
     kind: RequestKind;
-    /** The longest that a caller is kept waiting for the whole answer. */
+    /** Timeout for the complete response. */
     timeout: Milliseconds;
-    /** Time to the whole answer, or to a stream's first event, that callers want. */
+    /** Latency target for the complete response, or for the first event of a stream. */
     targetLatency: Milliseconds;
-    /** The longest pause between a stream's events that callers want. */
+    /** Target for the longest inter-event gap of a stream. */
     targetGap: Milliseconds | undefined;
-    /** Endpoints to which one request may be sent. */
+    /** Limit on the endpoints to which one request may be sent. */
     attempts: number;
-    /** Rank; 0 goes first. */
+    /** Priority of the requests; 0 is the highest. */
     priority: number;
     shares: readonly ServiceShare[];
-    /** Whether callers need no key. */
+    /** Whether callers need no API key. */
     open: boolean;
     /** Whether another endpoint can continue a stream. */
     resumable: boolean;
 }
 
-/** Published speeds of a service's model engines. */
+/** Published capacity and speed of a service's model engines. */
 export interface EngineProfile {
-    /** Requests that an engine works on at once. */
+    /** Limit on the concurrent requests of an engine. */
     slots: number;
     memoryTokens: number;
     stepTime: Milliseconds;
-    /** Added to a step for each request that is writing. */
+    /** Added to a step for each request in decode. */
     stepTimePerRequest: Milliseconds;
     /** Added to a step for each thousand tokens of context. */
     stepTimePerThousandTokens: Milliseconds;
     readTokensPerSecond: number;
-    /** Reading time for a million pairs of a token and an earlier one. */
+    /** Prefill time for one million pairs of a token and an earlier token. */
     readTimePerMillionPairs: Milliseconds;
-    /** Prompt tokens that one step reads at most. */
+    /** Limit on the prompt tokens that one step prefills. */
     chunkTokens: number;
-    /** Steps of a pass in which requests write. */
+    /** Steps in one pass; each request in decode generates one token per step. */
     stepsPerPass: number;
-    /** Added to each step for every pass over engines that share a prompt. */
+    /** Added to each step for every pass across engines that share a prompt. */
     hopTime: Milliseconds;
-    /** Mean size of a request, as published; undefined where the service publishes none. */
+    /** Published mean size of a request; undefined if the service publishes none. */
     usual: UsualSize | undefined;
 }
 
@@ -73,23 +73,23 @@
 export interface ServiceDefinition {
     name: string;
     healthPath: string;
-    /** Connections that an endpoint takes from all entries together. */
+    /** Limit on the connections that an endpoint accepts from all entries together. */
     connectionsAtMost: number;
-    /** Requests a second that a cold endpoint bears. */
+    /** Requests per second that a cold endpoint can serve. */
     coldRequestsPerSecond: number;
     /** Undefined for plain services. */
     engine: EngineProfile | undefined;
 }
 
-/** Somebody whose callers hold keys. */
+/** A customer and the API keys of its callers. */
 export interface Customer {
     name: string;
     keys: readonly string[];
-    /** Goes before the route's; undefined where the route's holds. */
+    /** Overrides the priority of the route; undefined if the route's priority applies. */
     priority: number | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size of requests and on the time to send them. */
 export interface CallerLimits {
     headerBytes: number;
     bodyBytes: number;
@@ -97,31 +97,31 @@
     idleTimeout: Milliseconds;
 }
 
-/** One version of the whole configuration. */
+/** One version of the complete configuration. */
 export interface RoutingConfiguration {
     version: number;
     routes: readonly Route[];
     services: readonly ServiceDefinition[];
-    /** Undefined where callers need no keys at all. */
+    /** Undefined if no route requires an API key. */
     customers: readonly Customer[] | undefined;
     limits: CallerLimits;
 }
 
-/** How endpoints are chosen. */
+/** How endpoints are selected. */
 export enum PlacementPolicy {
-    /** Where the least value is lost by predicted times. */
+    /** The endpoint with the smallest loss of value at the predicted response times. */
     Predicted = "predicted",
-    /** Where the fewest requests are in progress; a baseline to compare with. */
+    /** The endpoint with the fewest requests in progress, as a baseline for comparison. */
     LeastOutstanding = "leastOutstanding",
 }
 
-/** Whether an endpoint may get new requests. */
+/** Whether an endpoint may receive new requests. */
 export enum EndpointState {
     Ready = "ready",
     Draining = "draining",
 }
 
-/** An endpoint as it is listed. */
+/** Record of an endpoint in the store. */
 export interface EndpointRecord {
     id: string;
     service: string;
@@ -130,8 +130,8 @@
     dataCentre: string;
     slots: number;
     state: EndpointState;
-    /** How much longer it was cold when the record was written. */
+    /** Remaining duration of the cold start when the record was written. */
     coldFor: Milliseconds;
-    /** Differs between two lives of an endpoint under one id. */
+    /** Changes when an endpoint is replaced or restarted under the same id. */
     incarnation: number;
 }
--- a/src/utils/bodies.ts
+++ b/src/utils/bodies.ts
@@ -1,37 +1,40 @@
-/** Reads whole bodies without destroying their connection, so that an answer can still be written. */
+/** Reads complete message bodies. A failure leaves the connection open, so that a server can still send a response. */
 import type { IncomingMessage } from "node:http";
 import type { Clock, Milliseconds } from "./clock.js";
 import { BodyTooLargeError, DandelionrampError, describeError } from "./errors.js";
 
-/** A body ended before it was whole. */
-export class BodyCutError extends DandelionrampError {}
+/** The connection closed before the body was complete. */
+export class BodyIncompleteError extends DandelionrampError {}
 
-/** A body stopped coming. */
+/** The body did not arrive within its timeout. */
 export class BodyTooSlowError extends DandelionrampError {
     constructor(readonly limit: Milliseconds) {
-        super(`the body took longer than ${limit} ms`);
+        super(`the body did not arrive within ${limit} ms`);
     }
 }
 
-/** Bounds of a body. */
+/** Limits on the size of a body and on the time to read it. */
 export interface BodyLimits {
     bytes: number;
-    /** For the whole body; left out where something else bounds it. */
+    /** Timeout for the complete body; omitted where the caller has its own timeout. */
     time?: { limit: Milliseconds; clock: Clock; };
 }
 
-/** Resolves with the body once it is whole. Rejects with the errors of this module or {@link BodyTooLargeError}. */
+/**
+ * Resolves with the complete body. Rejects with {@link BodyIncompleteError}, {@link BodyTooSlowError} or
+ * {@link BodyTooLargeError}.
+ */
 export const collectBody = (message: IncomingMessage, limits: BodyLimits): Promise<Buffer> =>
     new Promise((resolve, reject) => {
         const chunks: Buffer[] = [];
-        let stopTimer = () => {};
+        let cancelTimer = () => {};
         let size = 0;
         const finish = (settle: () => void) => {
-            stopTimer();
-            message.off("data", take);
+            cancelTimer();
+            message.off("data", addChunk);
             settle();
         };
-        const take = (chunk: Buffer) => {
+        const addChunk = (chunk: Buffer) => {
             size += chunk.length;
             if (size > limits.bytes) {
                 finish(() => reject(new BodyTooLargeError(limits.bytes)));
@@ -39,18 +42,18 @@
             }
             chunks.push(chunk);
         };
-        message.on("data", take);
+        message.on("data", addChunk);
         message.once("end", () => {
             if (message.complete) {
                 finish(() => resolve(Buffer.concat(chunks)));
                 return;
             }
-            finish(() => reject(new BodyCutError("its connection closed")));
+            finish(() => reject(new BodyIncompleteError("the connection closed")));
         });
-        message.once("error", error => finish(() => reject(new BodyCutError(describeError(error)))));
-        message.once("close", () => finish(() => reject(new BodyCutError("its connection closed"))));
+        message.once("error", error => finish(() => reject(new BodyIncompleteError(describeError(error)))));
+        message.once("close", () => finish(() => reject(new BodyIncompleteError("the connection closed"))));
         const { time } = limits;
         if (time !== undefined) {
-            stopTimer = time.clock.after(time.limit, () => finish(() => reject(new BodyTooSlowError(time.limit))));
+            cancelTimer = time.clock.after(time.limit, () => finish(() => reject(new BodyTooSlowError(time.limit))));
         }
     });
--- a/src/utils/bounds.ts
+++ b/src/utils/bounds.ts
@@ -1,4 +1,4 @@
-/** Every wait on something outside this process has a bound; these functions set it. */
+/** Timeouts and abort helpers. Every wait for something outside this process has a timeout. */
 import { setMaxListeners } from "node:events";
 import { Clock, Milliseconds } from "./clock.js";
 import { TimeLimitError } from "./errors.js";
@@ -7,8 +7,8 @@
 /**
  * Runs `work` for at most `limit` milliseconds.
  *
- * Throws {@link TimeLimitError} when the limit passes first; `work` then sees its signal aborted and its late
- * outcome is dropped. An abort of `parent` reaches `work` too.
+ * Throws {@link TimeLimitError} on a timeout. The signal of `work` is then aborted, and its later result is ignored. An
+ * abort of `parent` aborts the signal of `work` too.
  */
 export const withTimeout = async <Result>(
     clock: Clock,
@@ -18,28 +18,28 @@
     parent?: AbortSignal,
 ): Promise<Result> => {
     const controller = new AbortController();
-    const forward = () => abortQuietly(controller);
-    parent?.addEventListener("abort", forward, { once: true });
+    const abortWork = () => abortQuietly(controller);
+    parent?.addEventListener("abort", abortWork, { once: true });
     if (parent?.aborted) {
-        forward();
+        abortWork();
     }
-    let stopTimer = () => {};
-    const expiry = new Promise<never>((...[, reject]) => {
-        stopTimer = clock.after(Math.max(0, limit), () => {
+    let cancelTimer = () => {};
+    const timeout = new Promise<never>((...[, reject]) => {
+        cancelTimer = clock.after(Math.max(0, limit), () => {
             reject(new TimeLimitError(subject, limit));
-            forward();
+            abortWork();
         });
     });
     try {
-        return await Promise.race([work(controller.signal), expiry]);
+        return await Promise.race([work(controller.signal), timeout]);
     }
     finally {
-        parent?.removeEventListener("abort", forward);
-        stopTimer();
+        parent?.removeEventListener("abort", abortWork);
+        cancelTimer();
     }
 };
 
-/** As {@link withTimeout}, but a limit that passes is an outcome of its own: undefined. */
+/** Like {@link withTimeout}, but resolves with undefined on a timeout. */
 export const withTimeoutOrUndefined = async <Result>(
     clock: Clock,
     limit: Milliseconds,
@@ -57,14 +57,14 @@
     }
 };
 
-/** An abort controller that many tasks may listen to; Node would warn of a leak from the eleventh on. */
+/** Creates an abort controller for any number of listeners. By default Node warns of a leak from the eleventh listener on. */
 export const sharedAbortController = (): AbortController => {
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     return controller;
 };
 
-/** Resolves when `signal` aborts, or at once when it has aborted already. */
+/** Resolves when `signal` aborts, or immediately if it has already aborted. */
 export const aborted = (signal: AbortSignal): Promise<void> =>
     new Promise(resolve => {
         if (signal.aborted) {
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,21 +1,21 @@
-/** The one notion of time: a monotonic clock in milliseconds, replaceable in tests. */
+/** Clock interface for all waits and measurements, in milliseconds. Tests can replace the clock. */
 
-/** A span or a point of time in milliseconds. */
+/** A duration or a point in time, in milliseconds. */
 export type Milliseconds = number;
 
-/** Source of time for everything that waits or measures. */
+/** Source of time. */
 export interface Clock {
-    /** Monotonic time in milliseconds; only differences mean anything. */
+    /** Monotonic time in milliseconds from an arbitrary origin; only differences are meaningful. */
     now(): Milliseconds;
-    /** Wall time in milliseconds since 1970; only for people to read. */
+    /** Wall-clock time in milliseconds since 1970, for display only. */
     wallTime(): Milliseconds;
-    /** Resolves after `duration` milliseconds, or at once when `signal` aborts. Never rejects. */
+    /** Resolves after `duration` milliseconds, or as soon as `signal` aborts. Never rejects. */
     sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void>;
-    /** Runs `action` after `duration` milliseconds, unless the returned function is called before. */
+    /** Runs `action` after `duration` milliseconds. The returned function cancels the timer. */
     after(duration: Milliseconds, action: () => void): () => void;
 }
 
-/** The process's own clock. Under vitest's fake timers it follows the fake time. */
+/** Clock of this process. Under vitest's fake timers it returns the fake time. */
 export const systemClock: Clock = {
     now: () => performance.now(),
     wallTime: () => Date.now(),
--- a/src/utils/errors.ts
+++ b/src/utils/errors.ts
@@ -1,6 +1,6 @@
-/** Errors of the utilities. */
+/** Base error class of the project, and the errors that the utilities throw. */
 
-/** Base of every error this project throws on purpose. */
+/** Base class of every error that this project throws deliberately. */
 export class DandelionrampError extends Error {
     constructor(message: string, options?: ErrorOptions) {
         super(message, options);
@@ -8,27 +8,27 @@
     }
 }
 
-/** A wait reached its bound. */
+/** An operation exceeded its timeout. */
 export class TimeLimitError extends DandelionrampError {
     constructor(readonly subject: string, readonly limit: number) {
         super(`${subject} took longer than ${Math.round(limit)} ms`);
     }
 }
 
-/** An HTTP exchange failed before its answer was whole. */
+/** An HTTP exchange failed before the complete response arrived. */
 export class ExchangeError extends DandelionrampError {
-    /** `written` is false only when it is certain that no byte of the request left this process. */
+    /** `written` is false only if certainly no byte of the request has left this process. */
     constructor(message: string, readonly written: boolean, options?: ErrorOptions) {
         super(message, options);
     }
 }
 
-/** A body is larger than its reader accepts. */
+/** A body exceeds the size limit of its reader. */
 export class BodyTooLargeError extends DandelionrampError {
     constructor(readonly limitBytes: number) {
-        super(`the body is over the limit of ${limitBytes} bytes`);
+        super(`the body exceeds the limit of ${limitBytes} bytes`);
     }
 }
 
-/** Text of any thrown value, for logs and answers. */
+/** Text of any thrown value, for logs and responses. */
 export const describeError = (error: unknown): string => error instanceof Error ? error.message : String(error);
--- a/src/utils/events.ts
+++ b/src/utils/events.ts
@@ -1,10 +1,10 @@
-/** The time line of one process: a bounded ring of events that a collector reads and merges. */
+/** Timeline of one process: a ring buffer of events that a collector fetches and merges with those of other processes. */
 import { Clock, Milliseconds } from "./clock.js";
 
-/** One thing that happened. */
+/** One recorded event. */
 export interface TimelineEvent {
     sequence: number;
-    /** Wall time of this process in milliseconds since 1970; the collector corrects its offset. */
+    /** Wall-clock time of this process in milliseconds since 1970. The collector corrects the clock offset. */
     wallTime: Milliseconds;
     process: string;
     part: string;
@@ -13,13 +13,13 @@
     detail?: string;
 }
 
-/** One answer to a collector. */
+/** Response to one request of the collector. */
 export interface TimelinePage {
     process: string;
-    /** Wall time at which the answer was made, for the collector's offset. */
+    /** Wall-clock time of the response, from which the collector computes the clock offset. */
     wallTime: Milliseconds;
     events: TimelineEvent[];
-    /** Events that fell out of the ring before they were read. */
+    /** Number of requested events that the ring buffer has already overwritten. */
     lost: number;
 }
 
@@ -32,7 +32,7 @@
 
     constructor(readonly process: string, private readonly clock: Clock) {}
 
-    /** Notes that something happened now. */
+    /** Adds an event with the current time. */
     record(part: string, event: string, requestId?: string, detail?: string): void {
         const sequence = this.nextSequence++;
         this.ring[sequence % ringCapacity] = {
@@ -46,7 +46,7 @@
         };
     }
 
-    /** The events from `sequence` on that the ring still holds, oldest first. */
+    /** Returns the events from sequence number `from` on that the ring buffer still holds, oldest first. */
     page(from: number): TimelinePage {
         const oldest = Math.max(0, this.nextSequence - ringCapacity);
         const events: TimelineEvent[] = [];
--- a/src/utils/hash.ts
+++ b/src/utils/hash.ts
@@ -1,24 +1,24 @@
-/** Hashes for placement and for fingerprints. */
+/** Hash functions for rendezvous hashing, API keys and request fingerprints. */
 import { createHash } from "node:crypto";
 
-const fnvOffset = 0x811c9dc5;
+const fnvOffsetBasis = 0x811c9dc5;
 const fnvPrime = 0x01000193;
 
-/** A 32-bit FNV-1a hash: quick and stable over processes, not for secrets. */
+/** 32-bit FNV-1a hash. Fast and equal in all processes, but not cryptographic. */
 export const hash32 = (text: string): number => {
-    let hash = fnvOffset;
+    let hash = fnvOffsetBasis;
     for (let index = 0; index < text.length; index++) {
         hash = Math.imul(hash ^ text.charCodeAt(index), fnvPrime);
     }
-    // FNV leaves similar inputs close together; the final mix spreads them.
+    // FNV maps similar inputs to similar values; the final mixing step spreads them.
     hash = Math.imul(hash ^ (hash >>> 16), 0x45d9f3b);
     return (hash ^ (hash >>> 15)) >>> 0;
 };
 
-/** SHA-256 of a text in hexadecimal, as stored for customers' keys. */
+/** SHA-256 of a text in hexadecimal, the form in which keys of customers are stored. */
 export const sha256 = (text: string): string => createHash("sha256").update(text).digest("hex");
 
-/** A fingerprint of several parts; no two lists of parts share one. */
+/** SHA-256 of a list of parts. Each part is prefixed with its length, so that different lists never hash the same input. */
 export const fingerprint = (...parts: (string | Uint8Array)[]): string => {
     const hash = createHash("sha256");
     for (const part of parts) {
@@ -27,7 +27,7 @@
     return hash.digest("hex");
 };
 
-/** The candidate with the highest hash for `key`: all who know the same candidates agree on it. */
+/** Rendezvous hashing: the candidate with the highest hash for `key`. Entries with the same candidates agree on the result. */
 export const rendezvous = (key: string, candidates: readonly string[]): string | undefined => {
     let best: string | undefined;
     let bestScore = -1;
--- a/src/utils/headers.ts
+++ b/src/utils/headers.ts
@@ -1,6 +1,6 @@
-/** Headers as flat lists of names and values, in the order and spelling in which they came. */
+/** Functions on raw header lists: names and values alternate, in the order and spelling received. */
 
-/** Headers that concern one connection only and are never passed on. */
+/** Hop-by-hop headers, which are never forwarded. */
 const connectionHeaders = new Set([
     "connection",
     "keep-alive",
@@ -13,7 +13,7 @@
     "upgrade",
 ]);
 
-/** The value of a header; `name` in lower case. Undefined where it is missing. */
+/** Value of the first header called `name` (in lower case), or undefined. */
 export const headerValue = (headers: readonly string[], name: string): string | undefined => {
     for (let index = 0; index + 1 < headers.length; index += 2) {
         if (headers[index]!.toLowerCase() === name) {
@@ -23,7 +23,7 @@
     return undefined;
 };
 
-/** How often a header stands in the list; `name` in lower case. */
+/** Number of headers called `name` (in lower case). */
 export const headerCount = (headers: readonly string[], name: string): number => {
     let count = 0;
     for (let index = 0; index < headers.length; index += 2) {
@@ -32,27 +32,27 @@
     return count;
 };
 
-/** The headers that may go on to the next hop, without those in `dropped` (lower case). */
+/** Headers that may be forwarded to the next hop, without those in `dropped` (in lower case). */
 export const endToEndHeaders = (headers: readonly string[], dropped: ReadonlySet<string>): string[] => {
-    const named = namedByConnection(headers);
+    const namesInConnectionHeader = headersNamedByConnection(headers);
     const kept: string[] = [];
     for (let index = 0; index + 1 < headers.length; index += 2) {
         const name = headers[index]!.toLowerCase();
-        if (!connectionHeaders.has(name) && !dropped.has(name) && !named.has(name)) {
+        if (!connectionHeaders.has(name) && !dropped.has(name) && !namesInConnectionHeader.has(name)) {
             kept.push(headers[index]!, headers[index + 1]!);
         }
     }
     return kept;
 };
 
-/** Size of headers as they were sent, with their separators and line ends. */
+/** Size of the headers on the wire, including separators and line ends. */
 export const headerBytes = (headers: readonly string[]): number => {
     const separatorBytes = 2;
     return headers.reduce((sum, text) => sum + Buffer.byteLength(text, "latin1") + separatorBytes, 0);
 };
 
-/** Headers that the sender's Connection header keeps to its connection. */
-const namedByConnection = (headers: readonly string[]): Set<string> => {
+/** Headers that the Connection header marks as hop-by-hop. */
+const headersNamedByConnection = (headers: readonly string[]): Set<string> => {
     const names = new Set<string>();
     for (let index = 0; index + 1 < headers.length; index += 2) {
         if (headers[index]!.toLowerCase() === "connection") {
--- a/src/utils/httpClient.ts
+++ b/src/utils/httpClient.ts
@@ -1,4 +1,4 @@
-/** Outgoing HTTP over Node's `http`, with a plain answer to the question whether a request may have been read. */
+/** HTTP client over Node's `http`. Each failure tells whether the server may have received the request. */
 import http from "node:http";
 import { gunzipSync } from "node:zlib";
 import { splitAddress } from "./address.js";
@@ -14,13 +14,13 @@
     headers?: Record<string, string>;
     body?: string | Buffer;
     signal?: AbortSignal;
-    /** A connection of its own: a failure to connect then proves that nothing was written. */
+    /** Opens a new connection. A failure to connect then proves that nothing was written. */
     freshConnection?: boolean;
-    /** Keeps the connections; one for all where it is left out. */
+    /** Pools the connections. Requests without an agent share one. */
     agent?: http.Agent;
 }
 
-/** The head of an answer, with its body still to be read. */
+/** Head of a response, and its unread body. */
 export interface IncomingResponse {
     status: number;
     headers: http.IncomingHttpHeaders;
@@ -30,14 +30,14 @@
 const sharedAgent = new http.Agent({ keepAlive: true, maxSockets: 512, maxFreeSockets: 32 });
 
 const requestHeaders = (request: OutgoingRequest): http.OutgoingHttpHeaders => {
-    const length = request.body === undefined ? undefined : Buffer.byteLength(request.body);
-    return { ...request.headers, ...(length === undefined ? {} : { "content-length": length }) };
+    const contentLength = request.body === undefined ? undefined : Buffer.byteLength(request.body);
+    return { ...request.headers, ...(contentLength === undefined ? {} : { "content-length": contentLength }) };
 };
 
 /**
- * Sends a request and resolves with the head of its answer.
+ * Sends a request and resolves with the head of the response.
  *
- * Throws {@link ExchangeError}; its `written` is false only when the connection was never made.
+ * Throws {@link ExchangeError}, whose `written` is false only if no connection was established.
  */
 export const sendRequest = (request: OutgoingRequest): Promise<IncomingResponse> =>
     new Promise((resolve, reject) => {
@@ -70,8 +70,8 @@
     });
 
 /**
- * Reads a body to its end. Throws {@link BodyTooLargeError} over `limitBytes`, {@link ExchangeError} when cut. The
- * connection stays open either way: a server still has to answer on it.
+ * Reads a complete body. Throws {@link BodyTooLargeError} if it exceeds `limitBytes`, and {@link ExchangeError} if it is
+ * incomplete. The connection stays open in both cases, because a server still has to send its response.
  */
 export const readBody = async (body: http.IncomingMessage, limitBytes: number): Promise<Buffer> => {
     try {
@@ -81,24 +81,24 @@
         if (error instanceof BodyTooLargeError) {
             throw error;
         }
-        throw new ExchangeError(`the body was cut: ${describeError(error)}`, true, { cause: error });
+        throw new ExchangeError(`the body is incomplete: ${describeError(error)}`, true, { cause: error });
     }
 };
 
-/** An answer with its JSON body. */
+/** A response with its parsed JSON body. */
 export interface JsonResponse {
     status: number;
     headers: http.IncomingHttpHeaders;
     value: unknown;
 }
 
-const jsonAnswerLimitBytes = 32 * 1024 * 1024;
+const maximumJsonResponseBytes = 32 * 1024 * 1024;
 
-const readText = async (body: http.IncomingMessage): Promise<string> => {
+const readJsonText = async (body: http.IncomingMessage): Promise<string> => {
     try {
-        const bytes = await readBody(body, jsonAnswerLimitBytes);
-        const packed = body.headers["content-encoding"] === "gzip";
-        return (packed ? gunzipSync(bytes, { maxOutputLength: jsonAnswerLimitBytes }) : bytes).toString("utf8");
+        const bytes = await readBody(body, maximumJsonResponseBytes);
+        const isGzipped = body.headers["content-encoding"] === "gzip";
+        return (isGzipped ? gunzipSync(bytes, { maxOutputLength: maximumJsonResponseBytes }) : bytes).toString("utf8");
     }
     catch (error) {
         body.destroy();
@@ -106,21 +106,27 @@
     }
 };
 
-/** Sends `value` as JSON and reads a JSON answer. Throws {@link ExchangeError}. */
+/** Sends `value` as JSON and reads a JSON response. Throws {@link ExchangeError}. */
 export const requestJson = async (
     request: Omit<OutgoingRequest, "body">,
     value?: unknown,
 ): Promise<JsonResponse> => {
-    const answer = await sendRequest({
+    const response = await sendRequest({
         ...request,
         headers: { ...request.headers, ...(value === undefined ? {} : { "content-type": "application/json" }) },
         body: value === undefined ? undefined : JSON.stringify(value),
     });
-    const text = await readText(answer.body);
+    const text = await readJsonText(response.body);
     try {
-        return { status: answer.status, headers: answer.headers, value: text === "" ? undefined : JSON.parse(text) };
+        return {
+            status: response.status,
+            headers: response.headers,
+            value: text === "" ? undefined : JSON.parse(text),
+        };
     }
     catch (error) {
-        throw new ExchangeError(`${request.address}${request.path} answered no JSON`, true, { cause: error });
+        throw new ExchangeError(`${request.address}${request.path}: the response is not valid JSON`, true, {
+            cause: error,
+        });
     }
 };
--- a/src/utils/httpServer.ts
+++ b/src/utils/httpServer.ts
@@ -1,24 +1,24 @@
-/** Incoming HTTP over Node's `http`: listening, JSON answers, and stopping. */
+/** HTTP server over Node's `http`: listens, sends JSON responses, and shuts down. */
 import http from "node:http";
 import { AddressInfo } from "node:net";
 import { splitAddress } from "./address.js";
 import { Clock, Milliseconds } from "./clock.js";
 
-/** A listening server and the address it got. */
+/** A listening server. */
 export interface Listener {
     server: http.Server;
-    /** `host:port`, with the real port where 0 was asked for. */
+    /** `host:port`, with the assigned port if port 0 was requested. */
     address: string;
-    /** Stops listening and cuts every connection. */
+    /** Stops listening and destroys every connection. */
     close(): Promise<void>;
-    /** Stops listening and lets what is being answered end, then cuts the rest after `limit`. */
-    finish(clock: Clock, limit: Milliseconds): Promise<void>;
+    /** Stops listening, waits up to `limit` for requests in flight, then destroys the remaining connections. */
+    drain(clock: Clock, limit: Milliseconds): Promise<void>;
 }
 
-/** Answers one request; a rejected promise ends the request with status 500. */
+/** Handles one request. If the promise rejects, the response has status 500. */
 export type RequestHandler = (request: http.IncomingMessage, response: http.ServerResponse) => Promise<void>;
 
-const answerFailure = (response: http.ServerResponse): void => {
+const endWithInternalError = (response: http.ServerResponse): void => {
     if (response.headersSent) {
         response.destroy();
         return;
@@ -26,13 +26,13 @@
     response.writeHead(500).end();
 };
 
-/** Listens on `host:port`. Rejects with Node's error when the address can't be had. */
+/** Listens on `host:port`. Rejects with Node's error if the address is unavailable. */
 export const listen = (address: string, handler: RequestHandler): Promise<Listener> =>
     new Promise((resolve, reject) => {
         const server = http.createServer((request, response) => {
-            handler(request, response).catch(() => answerFailure(response));
+            handler(request, response).catch(() => endWithInternalError(response));
         });
-        // Callers' long uploads have their own deadline; Node's default would cut them without an answer.
+        // Long uploads of callers have their own timeout. Node's default would close the connection without a response.
         server.requestTimeout = 0;
         server.keepAliveTimeout = 60_000;
         server.once("error", reject);
@@ -43,7 +43,7 @@
                 server,
                 address: `${host}:${(server.address() as AddressInfo).port}`,
                 close: () => closeServer(server),
-                finish: (clock, limit) => finishServer(server, clock, limit),
+                drain: (clock, limit) => drainServer(server, clock, limit),
             });
         });
     });
@@ -54,17 +54,17 @@
         server.closeAllConnections();
     });
 
-const finishServer = async (server: http.Server, clock: Clock, limit: Milliseconds): Promise<void> => {
-    const closed = new AbortController();
-    const ended = new Promise<void>(resolve => server.close(() => resolve()));
+const drainServer = async (server: http.Server, clock: Clock, limit: Milliseconds): Promise<void> => {
+    const timer = new AbortController();
+    const allClosed = new Promise<void>(resolve => server.close(() => resolve()));
     server.closeIdleConnections();
-    await Promise.race([ended, clock.sleep(limit, closed.signal)]);
-    closed.abort();
+    await Promise.race([allClosed, clock.sleep(limit, timer.signal)]);
+    timer.abort();
     server.closeAllConnections();
 };
 
-/** Resolves when an answer has left this process, or its connection is gone. */
-export const answerSent = (response: http.ServerResponse): Promise<void> =>
+/** Resolves when the response has left this process, or when its connection is closed. */
+export const responseSent = (response: http.ServerResponse): Promise<void> =>
     new Promise(resolve => {
         if (response.writableFinished || response.destroyed) {
             resolve();
@@ -74,7 +74,7 @@
         response.once("close", resolve);
     });
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export const sendJson = (response: http.ServerResponse, status: number, value: unknown): void => {
     const text = JSON.stringify(value);
     response.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(text) });
--- a/src/utils/keyedWindows.ts
+++ b/src/utils/keyedWindows.ts
@@ -1,28 +1,28 @@
-/** Sliding windows by key: events of the last while, counted for each endpoint or service by itself. */
+/** Sliding windows by key. They count recent events separately for each endpoint or service. */
 import type { Clock, Milliseconds } from "./clock.js";
 import { SlidingWindow } from "./slidingWindow.js";
 
-/** Windows that are made as their keys come up. */
+/** A sliding window for each key, created with the first event of the key. */
 export class KeyedWindows {
     private readonly windows = new Map<string, SlidingWindow>();
 
-    constructor(private readonly clock: Clock, private readonly span: () => Milliseconds) {}
+    constructor(private readonly clock: Clock, private readonly windowDuration: () => Milliseconds) {}
 
     add(key: string): void {
         let window = this.windows.get(key);
         if (!window) {
-            window = new SlidingWindow(this.clock, this.span());
+            window = new SlidingWindow(this.clock, this.windowDuration());
             this.windows.set(key, window);
         }
         window.add();
     }
 
-    /** Events of `key` in its window. */
+    /** Number of events of `key` within the window. */
     count(key: string): number {
         return this.windows.get(key)?.count() ?? 0;
     }
 
-    /** Time until the oldest event of `key` leaves its window; zero where there is none. */
+    /** Time until the oldest event of `key` leaves the window; zero if there is no event. */
     timeUntilExpiry(key: string): Milliseconds {
         return this.windows.get(key)?.timeUntilExpiry() ?? 0;
     }
--- a/src/utils/log.ts
+++ b/src/utils/log.ts
@@ -1,15 +1,15 @@
-/** Structured logs: one bunyan logger a process, one fixed prefix a part. */
+/** Structured logs: one bunyan logger per process, and a fixed message prefix for each part of the process. */
 import Logger from "bunyan";
 import type { BoundedLogStream } from "./logStream.js";
 
-/** Writes the lines of one part, each with the part's prefix. */
+/** Logger of one part, which prefixes each message with the name of the part. */
 export interface PartLog {
     info(message: string, fields?: Record<string, unknown>): void;
     warn(message: string, fields?: Record<string, unknown>): void;
     error(message: string, fields?: Record<string, unknown>): void;
 }
 
-/** Levels a settings file may name. */
+/** Log levels that settings may name. */
 export enum LogLevel {
     Debug = "debug",
     Info = "info",
@@ -17,22 +17,22 @@
     Error = "error",
 }
 
-/** The process's logger. Lines go to standard output as JSON. */
+/** Creates the logger of a process, which writes JSON lines to standard output. */
 export const createLogger = (name: string, level: LogLevel): Logger => Logger.createLogger({ name, level });
 
-/** A logger whose lines go to `stream`, which may drop some. */
+/** Creates a logger that writes to `stream`, which may drop lines. */
 export const createBoundedLogger = (name: string, level: LogLevel, stream: BoundedLogStream): Logger =>
     Logger.createLogger({
         name,
         streams: [{ type: "raw", level, stream: stream as unknown as NodeJS.WritableStream }],
     });
 
-/** A log whose lines begin with `prefix`. */
+/** Creates a logger that prefixes each message with `prefix`. */
 export const partLog = (logger: Logger, prefix: string): PartLog => ({
     info: (message, fields = {}) => logger.info(fields, `${prefix}: ${message}`),
     warn: (message, fields = {}) => logger.warn(fields, `${prefix}: ${message}`),
     error: (message, fields = {}) => logger.error(fields, `${prefix}: ${message}`),
 });
 
-/** A log that drops its lines. */
+/** A logger that discards every line. */
 export const silentLog: PartLog = { info: () => {}, warn: () => {}, error: () => {} };
--- a/src/utils/logStream.ts
+++ b/src/utils/logStream.ts
@@ -1,88 +1,97 @@
-/** Standard output for logs that never waits for its reader, and whose volume is bounded. */
+/**
+ * Log output that never blocks on its reader. The number of lines per second and the size of the buffer are bounded; excess
+ * lines are dropped and counted.
+ */
 import { fstatSync } from "node:fs";
 import net from "node:net";
 import type { Clock, Milliseconds } from "./clock.js";
 
-const standardOutput = 1;
-/** Bytes that may wait for the reader: some seconds of usual lines, and a small part of an instance's memory. */
-const waitingBytesAtMost = 1024 * 1024;
-/** Lines of a second below the level of warnings; failures come beside them. About three times the usual volume. */
-const routineLinesPerSecond = 200;
-const allLinesPerSecond = 400;
-const second: Milliseconds = 1_000;
-/** bunyan's number for warnings. */
+const standardOutputDescriptor = 1;
+/** Maximum size of buffered output: a few seconds of usual volume, and a small part of the memory of an instance. */
+const maximumPendingBytes = 1024 * 1024;
+/** Rate limit for lines below warning level, about three times the usual volume. The remaining lines are left for warnings. */
+const maximumRoutineLinesPerSecond = 200;
+const maximumLinesPerSecond = 400;
+const rateWindow: Milliseconds = 1_000;
+/** Numeric level of warnings in bunyan. */
 const warningLevel = 40;
 
-/** Where bytes go; `waiting` are those that the reader hasn't taken. */
+/** Output of a log. */
 export interface LogSink {
     write(text: string): void;
-    readonly waiting: number;
+    /** Bytes that are buffered because the reader has not consumed them yet. */
+    readonly pendingBytes: number;
 }
 
-/** One line as bunyan gives it to a raw stream. */
+/** A log record as bunyan passes it to a raw stream. */
 export interface LogRecord {
     level: number;
     [field: string]: unknown;
 }
 
 /**
- * Writes records as JSON lines, and drops what is over its bounds.
+ * Writes records as JSON lines, and drops records beyond its limits.
  *
- * Node writes to a pipe synchronously: a log reader that stalls would stop the whole entry, and every caller would wait.
- * Here nothing waits; what can't be written is counted, and the count is written when there is room again.
+ * Node writes to a pipe synchronously, so a stalled log reader would block the whole entry and every caller. This stream
+ * never blocks. It counts dropped lines and logs their number before the next line that it writes.
  */
 export class BoundedLogStream {
-    private dropped = 0;
-    private droppedInAll = 0;
+    private unreportedDropCount = 0;
+    private totalDropCount = 0;
     private windowStart: Milliseconds = -Infinity;
-    private windowLines = 0;
+    private windowLineCount = 0;
 
     constructor(private readonly sink: LogSink, private readonly clock: Clock, private readonly name: string) {}
 
     write(record: LogRecord): void {
         if (!this.hasRoom(record.level)) {
-            this.dropped++;
-            this.droppedInAll++;
+            this.unreportedDropCount++;
+            this.totalDropCount++;
             return;
         }
-        if (this.dropped > 0) {
-            const line = { name: this.name, level: warningLevel, msg: "log: Lines were dropped.", lines: this.dropped };
-            this.dropped = 0;
+        if (this.unreportedDropCount > 0) {
+            const dropNotice = {
+                name: this.name,
+                level: warningLevel,
+                msg: "log: Lines were dropped.",
+                lines: this.unreportedDropCount,
+            };
+            this.unreportedDropCount = 0;
             this.sink.write(
-                `${JSON.stringify({ ...line, time: new Date(this.clock.wallTime()).toISOString(), v: 0 })}\n`,
+                `${JSON.stringify({ ...dropNotice, time: new Date(this.clock.wallTime()).toISOString(), v: 0 })}\n`,
             );
         }
         this.sink.write(`${JSON.stringify(record)}\n`);
     }
 
-    /** Lines that were dropped since the start. */
+    /** Number of lines dropped since the start. */
     get droppedTotal(): number {
-        return this.droppedInAll;
+        return this.totalDropCount;
     }
 
     private hasRoom(level: number): boolean {
         const now = this.clock.now();
-        if (now - this.windowStart >= second) {
+        if (now - this.windowStart >= rateWindow) {
             this.windowStart = now;
-            this.windowLines = 0;
+            this.windowLineCount = 0;
         }
-        const lines = level >= warningLevel ? allLinesPerSecond : routineLinesPerSecond;
-        if (this.windowLines >= lines || this.sink.waiting >= waitingBytesAtMost) {
+        const maximumLines = level >= warningLevel ? maximumLinesPerSecond : maximumRoutineLinesPerSecond;
+        if (this.windowLineCount >= maximumLines || this.sink.pendingBytes >= maximumPendingBytes) {
             return false;
         }
-        this.windowLines++;
+        this.windowLineCount++;
         return true;
     }
 }
 
-/** Standard output without waiting: a pipe is written asynchronously; a file takes lines at once anyway. */
+/** Non-blocking standard output. Pipes and sockets are written asynchronously; writes to a file don't block on a reader. */
 export const standardOutputSink = (): LogSink => {
-    const kind = fstatSync(standardOutput);
-    if (!kind.isFIFO() && !kind.isSocket()) {
-        return { write: text => void process.stdout.write(text), waiting: 0 };
+    const fileStatus = fstatSync(standardOutputDescriptor);
+    if (!fileStatus.isFIFO() && !fileStatus.isSocket()) {
+        return { write: text => void process.stdout.write(text), pendingBytes: 0 };
     }
-    const pipe = new net.Socket({ fd: standardOutput, readable: false, writable: true });
-    // A reader that has gone away ends the lines, not the entry.
+    const pipe = new net.Socket({ fd: standardOutputDescriptor, readable: false, writable: true });
+    // When the reader exits, logging stops but the entry continues.
     pipe.on("error", () => pipe.destroy());
     return {
         write: text => {
@@ -90,7 +99,7 @@
                 pipe.write(text);
             }
         },
-        get waiting() {
+        get pendingBytes() {
             return pipe.writableLength;
         },
     };
--- a/src/utils/numbers.ts
+++ b/src/utils/numbers.ts
@@ -1,12 +1,12 @@
-/** Numbers as other programs write them. */
+/** Parses numbers that other programs have formatted. */
 
-const decimal = /^\d+(\.\d+)?(e[+-]?\d{1,3})?$/i;
+const decimalPattern = /^\d+(\.\d+)?(e[+-]?\d{1,3})?$/i;
 
 /**
- * A number of at least 0, whatever its digits: other programs write the shortest form of a fraction, with up to seventeen
- * digits or an exponent. Undefined where `text` is none, or too large for a number.
+ * Parses a decimal number of at least 0, or returns undefined if `text` is not one or exceeds the range of a number. Other
+ * programs write the shortest form of a fraction, so up to seventeen digits and an exponent are accepted.
  */
-export const nonNegative = (text: string): number | undefined => {
-    const value = decimal.test(text) ? Number(text) : NaN;
+export const parseNonNegativeNumber = (text: string): number | undefined => {
+    const value = decimalPattern.test(text) ? Number(text) : NaN;
     return Number.isFinite(value) ? value : undefined;
 };
--- a/src/utils/random.ts
+++ b/src/utils/random.ts
@@ -1,4 +1,4 @@
-/** Seedable randomness, so that every test and experiment can be replayed. */
+/** Random numbers from a replaceable source. Tests and experiments use a seed, so that they can be replayed. */
 
 /** Source of random numbers. */
 export interface Random {
@@ -6,10 +6,10 @@
     next(): number;
 }
 
-/** The process's own randomness. */
+/** Unseeded random numbers of this process. */
 export const systemRandom: Random = { next: () => Math.random() };
 
-/** A generator that gives the same sequence for the same seed (mulberry32). */
+/** Seeded pseudorandom number generator (mulberry32). */
 export const seededRandom = (seed: number): Random => {
     let state = seed >>> 0;
     return {
@@ -22,12 +22,12 @@
     };
 };
 
-/** An identifier of 16 hexadecimal digits. */
+/** Creates an identifier of 16 hexadecimal digits. */
 export const randomIdentifier = (random: Random): string => {
-    const half = () => Math.floor(random.next() * 4_294_967_296).toString(16).padStart(8, "0");
-    return half() + half();
+    const nextHalf = () => Math.floor(random.next() * 4_294_967_296).toString(16).padStart(8, "0");
+    return nextHalf() + nextHalf();
 };
 
-/** A wait of full jitter: uniform between 0 and an exponentially growing ceiling. */
+/** Exponential delay with full jitter: uniform between 0 and `base * 2 ** attempt`, but at most `ceiling`. */
 export const fullJitter = (random: Random, base: number, attempt: number, ceiling: number): number =>
     random.next() * Math.min(ceiling, base * 2 ** attempt);
--- a/src/utils/samePort.ts
+++ b/src/utils/samePort.ts
@@ -1,25 +1,25 @@
-/** Two listeners on one port number, such as for datagrams and for connections. */
+/** Opens two listeners on the same port number, such as one for datagrams and one for connections. */
 import { splitAddress } from "./address.js";
 
-/** A number that the system picks for one listener may be taken for the other; each try picks another one. */
-const triesAtMost = 20;
+/** The port that the system assigns to the first listener may be in use for the second; each attempt gets a new port. */
+const maximumAttempts = 20;
 
-/** Something that listens. */
-interface Closable {
+/** A listener that can be closed again. */
+interface ClosableListener {
     address: string;
     close(): Promise<void>;
 }
 
 /**
- * Opens the first listener at `address` and the second at the address that the first got. With port 0 another number is
- * tried when the second can't have it; a port that was asked for is not changed, and its error is thrown.
+ * Opens the first listener at `address` and the second at the resulting address of the first. If the second fails, port 0 is
+ * retried with another assigned port. A fixed port is not retried: the error of the second listener is thrown.
  */
-export const listenOnSamePort = async <First extends Closable>(
+export const listenOnSamePort = async <First extends ClosableListener>(
     address: string,
     openFirst: (address: string) => Promise<First>,
     openSecond: (address: string) => Promise<unknown>,
 ): Promise<First> => {
-    for (let tries = 1;; tries++) {
+    for (let attempt = 1;; attempt++) {
         const first = await openFirst(address);
         try {
             await openSecond(first.address);
@@ -27,7 +27,7 @@
         }
         catch (error) {
             await first.close();
-            if (splitAddress(address).port !== 0 || tries >= triesAtMost) {
+            if (splitAddress(address).port !== 0 || attempt >= maximumAttempts) {
                 throw error;
             }
         }
--- a/src/utils/settings.ts
+++ b/src/utils/settings.ts
@@ -1,23 +1,23 @@
-/** Settings in INI files, checked; every fault is one line that names file, section and key. */
+/** Parses and validates INI settings files. Each error message is one line that names the file, the section and the key. */
 import { parse } from "ini";
 import { readFileSync } from "node:fs";
 import * as z from "zod";
 import { DandelionrampError, describeError } from "./errors.js";
 
-/** A settings file that can't be used. */
+/** A settings file is unreadable or invalid. */
 export class SettingsError extends DandelionrampError {}
 
-/** Building blocks of settings: what a key expects is part of its message. */
+/** Schemas for setting values. The error message of each states the expected value. */
 export const setting = {
     text: () => z.string("expected text").min(1, "expected text"),
     /** `host:port`. */
     address: () =>
         z.string("expected an address as host:port").regex(/^[^\s:]+:\d{1,5}$/, "expected an address as host:port"),
-    wholeNumber: (least = 0) =>
-        z.string(`expected a whole number of at least ${least}`)
-            .regex(/^\d{1,12}$/, `expected a whole number of at least ${least}`)
+    wholeNumber: (minimum = 0) =>
+        z.string(`expected a whole number of at least ${minimum}`)
+            .regex(/^\d{1,12}$/, `expected a whole number of at least ${minimum}`)
             .transform(Number)
-            .refine(value => value >= least, `expected a whole number of at least ${least}`),
+            .refine(value => value >= minimum, `expected a whole number of at least ${minimum}`),
     share: () =>
         z.string("expected a number from 0 to 1")
             .regex(/^(0(\.\d+)?|1(\.0+)?)$/, "expected a number from 0 to 1")
@@ -30,7 +30,7 @@
     },
 };
 
-/** Names that may stand in a part of a schema: sections, or the keys of a section. */
+/** Names that a schema allows: the sections of a file, or the keys of a section. */
 const knownNames = (schema: z.ZodType): string[] => {
     if (schema instanceof z.ZodDefault || schema instanceof z.ZodPrefault) {
         return knownNames(schema.unwrap() as z.ZodType);
@@ -41,25 +41,27 @@
 const sectionOf = (schema: z.ZodType, section: string | undefined): z.ZodType =>
     section !== undefined && schema instanceof z.ZodObject ? schema.shape[section] as z.ZodType : schema;
 
-const expectation = (issue: z.core.$ZodIssue, schema: z.ZodType): string => {
-    const known = knownNames(sectionOf(schema, issue.path[0]?.toString())).join(", ");
+const describeExpectation = (issue: z.core.$ZodIssue, schema: z.ZodType): string => {
+    const expectedNames = knownNames(sectionOf(schema, issue.path[0]?.toString())).join(", ");
     if (issue.code === "unrecognized_keys") {
-        const what = issue.path.length === 0 ? "section" : "key";
-        return `unknown ${what} ${issue.keys.join(", ")}; expected ${known}`;
+        const nameKind = issue.path.length === 0 ? "section" : "key";
+        return `unknown ${nameKind} ${issue.keys.join(", ")}; expected ${expectedNames}`;
     }
-    // A missing section is reported by its own type; keys carry their expectation as message.
-    return issue.path.length === 1 ? `this section is missing or no section; expected ${known}` : issue.message;
+    // For a key, the message of the issue states the expected value. For a section it only names a type.
+    return issue.path.length === 1
+        ? `the section is missing or is a plain key; expected a section with ${expectedNames}`
+        : issue.message;
 };
 
 const describeIssue = (file: string, issue: z.core.$ZodIssue, schema: z.ZodType): string => {
     const names = issue.path.map(String);
     const key = names.length > 1 ? names.at(-1) : undefined;
     const section = names.length > 1 ? names.slice(0, -1).join(".") : names[0];
-    const place = [section === undefined ? "" : `[${section}]`, key ?? ""].filter(part => part !== "").join(" ");
-    return `${file}: ${place === "" ? "" : `${place}: `}${expectation(issue, schema)}`;
+    const location = [section === undefined ? "" : `[${section}]`, key ?? ""].filter(part => part !== "").join(" ");
+    return `${file}: ${location === "" ? "" : `${location}: `}${describeExpectation(issue, schema)}`;
 };
 
-/** Checks the text of a settings file against its schema. Throws {@link SettingsError}. */
+/** Parses the text of a settings file and validates it. Throws {@link SettingsError}. */
 export const parseSettings = <Schema extends z.ZodType>(
     file: string,
     text: string,
@@ -72,7 +74,7 @@
     return outcome.data;
 };
 
-/** Reads and checks a settings file. Throws {@link SettingsError}. */
+/** Reads a settings file, parses and validates it. Throws {@link SettingsError}. */
 export const readSettings = <Schema extends z.ZodType>(file: string, schema: Schema): z.infer<Schema> => {
     let text: string;
     try {
--- a/src/utils/signal.ts
+++ b/src/utils/signal.ts
@@ -1,14 +1,14 @@
-/** A condition that tasks wait on: woken all together whenever something changed. */
+/** Change notification between tasks, and aborts without the cost of an error object. */
 
-/** Wakes every waiting task at each `notify`. */
+/** Lets tasks wait for the next change. Each `notify` wakes all waiting tasks. */
 export class ChangeSignal {
-    private waiting = new Set<() => void>();
+    private waiters = new Set<() => void>();
 
-    /** Wakes all who wait now. */
+    /** Wakes all tasks that are waiting now. */
     notify(): void {
-        const woken = this.waiting;
-        this.waiting = new Set();
-        for (const wake of woken) {
+        const waiters = this.waiters;
+        this.waiters = new Set();
+        for (const wake of waiters) {
             wake();
         }
     }
@@ -22,33 +22,33 @@
             }
             const wake = () => {
                 signal?.removeEventListener("abort", wake);
-                this.waiting.delete(wake);
+                this.waiters.delete(wake);
                 resolve();
             };
-            this.waiting.add(wake);
+            this.waiters.add(wake);
             signal?.addEventListener("abort", wake, { once: true });
         });
     }
 }
 
-/** The reason of {@link abortQuietly}. */
-const cancelled = "cancelled";
+/** Abort reason of {@link abortQuietly}. */
+const abortReason = "cancelled";
 
 /**
- * Aborts. Without a reason of its own Node makes an error with its stack for each abort, which costs more than all else on
- * the path of a request.
+ * Aborts with a constant reason. Without a reason Node creates an error with a stack trace for each abort, which costs more
+ * than everything else on the path of a request.
  */
-export const abortQuietly = (controller: AbortController): void => controller.abort(cancelled);
+export const abortQuietly = (controller: AbortController): void => controller.abort(abortReason);
 
 /** Resolves at the next `notify` of any of `changes`, or when `signal` aborts. */
 export const nextOfAny = async (changes: readonly ChangeSignal[], signal: AbortSignal): Promise<void> => {
-    const stop = new AbortController();
-    const end = () => stop.abort();
-    signal.addEventListener("abort", end, { once: true });
+    const controller = new AbortController();
+    const abort = () => controller.abort();
+    signal.addEventListener("abort", abort, { once: true });
     if (signal.aborted) {
-        end();
+        abort();
     }
-    await Promise.race(changes.map(change => change.next(stop.signal)));
-    signal.removeEventListener("abort", end);
-    stop.abort();
+    await Promise.race(changes.map(change => change.next(controller.signal)));
+    signal.removeEventListener("abort", abort);
+    controller.abort();
 };
--- a/src/utils/slidingWindow.ts
+++ b/src/utils/slidingWindow.ts
@@ -1,39 +1,39 @@
-/** Counts events in a window of time that slides. */
+/** Counts the events of a sliding time window. */
 import type { Clock, Milliseconds } from "./clock.js";
 
-/** Events of the last `span` milliseconds. */
+/** Events of the last `duration` milliseconds. */
 export class SlidingWindow {
-    private times: Milliseconds[] = [];
-    private first = 0;
+    private timestamps: Milliseconds[] = [];
+    private firstIndex = 0;
 
-    constructor(private readonly clock: Clock, private readonly span: Milliseconds) {}
+    constructor(private readonly clock: Clock, private readonly duration: Milliseconds) {}
 
     add(): void {
-        this.forget();
-        this.times.push(this.clock.now());
+        this.removeExpired();
+        this.timestamps.push(this.clock.now());
     }
 
     count(): number {
-        this.forget();
-        return this.times.length - this.first;
+        this.removeExpired();
+        return this.timestamps.length - this.firstIndex;
     }
 
-    /** Time until the oldest event leaves the window; zero where there is none. */
+    /** Time until the oldest event leaves the window; zero if there is no event. */
     timeUntilExpiry(): Milliseconds {
-        this.forget();
-        const oldest = this.times[this.first];
-        return oldest === undefined ? 0 : oldest + this.span - this.clock.now();
+        this.removeExpired();
+        const oldest = this.timestamps[this.firstIndex];
+        return oldest === undefined ? 0 : oldest + this.duration - this.clock.now();
     }
 
-    private forget(): void {
-        const oldest = this.clock.now() - this.span;
-        while (this.first < this.times.length && this.times[this.first]! <= oldest) {
-            this.first++;
+    private removeExpired(): void {
+        const windowStart = this.clock.now() - this.duration;
+        while (this.firstIndex < this.timestamps.length && this.timestamps[this.firstIndex]! <= windowStart) {
+            this.firstIndex++;
         }
-        // The array is only cut now and then, so that forgetting costs a constant time an event.
-        if (this.first > 64 && this.first * 2 > this.times.length) {
-            this.times = this.times.slice(this.first);
-            this.first = 0;
+        // Copying the array only occasionally keeps the amortized cost per event constant.
+        if (this.firstIndex > 64 && this.firstIndex * 2 > this.timestamps.length) {
+            this.timestamps = this.timestamps.slice(this.firstIndex);
+            this.firstIndex = 0;
         }
     }
 }
