--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -121,7 +121,7 @@
         const profile = node.configuration.profileOf(node.configuration.service("bookings"));
         const deadlineOf = () => this.deadline(entry, timeout);
         void this.follow(request, async function*(): AsyncGenerator<ResponseChunk, void> {
-            const { answer } = await node.serviceCalls.run({
+            const { response } = await node.serviceCalls.run({
                 nonIdempotent: true,
                 request: {
                     method: "POST",
@@ -145,7 +145,7 @@
                     signal: new AbortController().signal,
                 },
             });
-            yield { type: "Text", text: answer.body.toString("utf8"), tokens: 1 };
+            yield { type: "Text", text: response.body.toString("utf8"), tokens: 1 };
         });
         return request;
     }
--- a/__tests__/support/mechanisms.ts
+++ b/__tests__/support/mechanisms.ts
@@ -63,7 +63,7 @@
     frameOffsets: (entry: FakeEntry): void => {
         override(
             entry.node.generations,
-            "accept",
+            "acceptFrame",
             (frame: { type: string; text: string; count: number; }) =>
                 frame.type === "Tokens"
                     ? { type: "Text", text: frame.text, tokens: frame.count }
@@ -98,7 +98,7 @@
         override(entry.node.holdings, "reclaim", () => Promise.resolve());
     },
     suspects: (entry: FakeEntry): void => {
-        override(entry.node.suspects, "isRefused", () => false);
+        override(entry.node.suspects, "isRejected", () => false);
     },
     drain: (entry: FakeEntry): void => {
         override(entry.node, "drain", () => {
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -421,11 +421,11 @@
     }
 
     requestPermit(address: string, request: PermitRequest): Promise<PermitDecision> {
-        return this.call(address, node => node.coldStart.answer(request));
+        return this.call(address, node => node.coldStart.handleRequest(request));
     }
 
     returnPermit(address: string, request: PermitRequest): Promise<void> {
-        return this.call(address, node => node.coldStart.returned(request));
+        return this.call(address, node => node.coldStart.handleReturn(request));
     }
 
     claimProgress(address: string, ...[, nonce]: [string, string]): Promise<ClaimProgress> {
@@ -437,7 +437,10 @@
     }
 
     liveHoldings(address: string, holdingIds: string[]): Promise<{ incarnation: string; live: string[]; }> {
-        return this.call(address, node => ({ incarnation: node.incarnation, live: node.holdings.liveOf(holdingIds) }));
+        return this.call(
+            address,
+            node => ({ incarnation: node.incarnation, live: node.holdings.filterLive(holdingIds) }),
+        );
     }
 
     private call<Result>(address: string, work: (node: EntryNode) => Result): Promise<Result> {
--- a/src/adapters/callers/serviceRoutes.ts
+++ b/src/adapters/callers/serviceRoutes.ts
@@ -43,7 +43,7 @@
     const deadline = deadlineOf(node, exchange, profile);
     const body = await bodyOf(exchange, bodyLimitBytes);
     node.ports.timeline.record("callers", "admitted", exchange.requestId, `${method} ${serviceName}${path}`);
-    const { answer, replayed } = await node.serviceCalls.run({
+    const { response, replayed } = await node.serviceCalls.run({
         nonIdempotent,
         request: {
             method,
@@ -68,7 +68,7 @@
             signal: exchange.signal,
         },
     });
-    sendAnswer(exchange, answer, replayed);
+    sendAnswer(exchange, response, replayed);
 };
 
 const sendAnswer = (
--- a/src/adapters/peerServer.ts
+++ b/src/adapters/peerServer.ts
@@ -27,12 +27,12 @@
     );
     server.addMethod(
         PeerMethod.RequestPermit,
-        ({ request }: { request: PermitRequest; }) => node.coldStart.answer(request),
+        ({ request }: { request: PermitRequest; }) => node.coldStart.handleRequest(request),
     );
     server.addMethod(
         PeerMethod.ReturnPermit,
         ({ request }: { request: PermitRequest; }) => {
-            node.coldStart.returned(request);
+            node.coldStart.handleReturn(request);
             return true;
         },
     );
@@ -43,7 +43,7 @@
     );
     server.addMethod(PeerMethod.LiveHoldings, ({ holdingIds }: { holdingIds: string[]; }) => ({
         incarnation: node.incarnation,
-        live: node.holdings.liveOf(holdingIds),
+        live: node.holdings.filterLive(holdingIds),
     }));
     return server;
 };
--- a/src/core/coldStart.ts
+++ b/src/core/coldStart.ts
@@ -1,4 +1,7 @@
-/** Permits of an endpoint's home: for a small load in cold start, and for suspects, one at a time. */
+/**
+ * Permits that an endpoint's home grants: a few at a time while the endpoint is in cold start, and one at a time for
+ * suspects. The permits bound the load that all entries together put on a cold endpoint.
+ */
 import {
     Clock,
     Endpoint,
@@ -13,66 +16,68 @@
     Profile,
 } from "../internal.js";
 
-/** How long a permit whose holder says nothing counts as in use. */
-const permitHoldMilliseconds = 30_000;
+/** A permit that its holder doesn't return counts as in use for this long. */
+const permitLifetimeMilliseconds = 30_000;
 
-/** Leave to send one request to an endpoint. */
+/** Permission to send one request to an endpoint. */
 export interface Permit {
     permitId: string;
     endpoint: string;
     suspect: boolean;
-    /** Whether the endpoint was in cold start when the permit was asked for. */
+    /** Whether the endpoint was in cold start when the permit was requested. */
     cold: boolean;
-    /** The home that gave it. */
+    /** The entry that granted the permit as the endpoint's home. */
     home: string;
-    /** The request must be sent before this moment of the sender's clock. */
+    /** Time on the sender's clock before which the request must be sent. */
     sendBefore: Milliseconds;
 }
 
-/** What cold start works with. */
-export interface ColdStartParts {
+/** Dependencies of {@link ColdStart}. */
+export interface ColdStartDependencies {
     clock: Clock;
     homes: Homes;
     membership: Membership;
     peers: PeerPort;
     self: string;
-    endpoint: (id: string) => Endpoint | undefined;
+    findEndpoint: (id: string) => Endpoint | undefined;
     profileFor: (endpoint: Endpoint) => Profile;
-    /** Whether this process has not just been paused. */
-    fresh: () => boolean;
+    /** Whether this process's state is current; false after a pause until the state has been refreshed. */
+    isStateFresh: () => boolean;
 }
 
 /**
- * Gives, asks for and returns permits.
+ * Grants, requests and returns permits.
  *
- * A cold endpoint gets the profile's small number of requests at once until it reports itself warm: neither time nor
- * answers at a low load show what more it bears. The home counts its permits and what the endpoint itself reports, and
- * takes the larger, because permits of an earlier home still run there.
+ * A cold endpoint runs at most the profile's `coldConcurrency` requests until it reports itself warm: neither elapsed time
+ * nor successful responses at a low load show how much more load it can bear. The home compares its outstanding permits
+ * with the running requests that the endpoint reports and uses the larger count, because requests that a previous home
+ * permitted may still be running.
  */
 export class ColdStart {
-    private readonly outstanding = new Map<string, Map<string, Milliseconds>>();
-    /** The suspect that runs on each endpoint, by permit, and until when it counts. */
-    private readonly suspectSlots = new Map<string, { permitId: string; expiresAt: Milliseconds; }>();
+    /** Expiry times of outstanding permits by permit ID, for each endpoint. */
+    private readonly permitExpiriesByEndpoint = new Map<string, Map<string, Milliseconds>>();
+    /** The permit of the suspect that runs on each endpoint. */
+    private readonly suspectPermitByEndpoint = new Map<string, { permitId: string; expiresAt: Milliseconds; }>();
 
-    constructor(private readonly parts: ColdStartParts) {}
+    constructor(private readonly dependencies: ColdStartDependencies) {}
 
-    /** Takes a permit as this endpoint's home; undefined when it isn't the home or the endpoint has its fill. */
-    takeOwn(endpoint: Endpoint, permitId: string, suspect: boolean): Permit | undefined {
-        const permit = this.newPermit(endpoint, this.parts.self, permitId, suspect);
+    /** Grants a permit to this entry as the endpoint's home; undefined if it isn't the home or the endpoint has no capacity. */
+    grantLocally(endpoint: Endpoint, permitId: string, suspect: boolean): Permit | undefined {
+        const permit = this.createPermit(endpoint, this.dependencies.self, permitId, suspect);
         return this.grant(endpoint, this.requestOf(permit)) === PermitDecision.Granted ? permit : undefined;
     }
 
-    /** Asks the endpoint's home for a permit; undefined when it denies or doesn't answer. */
-    async ask(endpoint: Endpoint, permitId: string, suspect: boolean): Promise<Permit | undefined> {
-        const home = this.parts.homes.homeOf(endpoint.id);
-        const peer = home === undefined ? undefined : this.parts.membership.peer(home);
+    /** Requests a permit from the endpoint's home; undefined if the home denies the request or doesn't respond. */
+    async requestFromHome(endpoint: Endpoint, permitId: string, suspect: boolean): Promise<Permit | undefined> {
+        const home = this.dependencies.homes.homeOf(endpoint.id);
+        const peer = home === undefined ? undefined : this.dependencies.membership.peer(home);
         if (home === undefined || !peer) {
             return undefined;
         }
-        const permit = this.newPermit(endpoint, home, permitId, suspect);
+        const permit = this.createPermit(endpoint, home, permitId, suspect);
         try {
-            const answer = await this.parts.peers.requestPermit(peer.record.address, this.requestOf(permit));
-            return answer === PermitDecision.Granted ? permit : undefined;
+            const decision = await this.dependencies.peers.requestPermit(peer.record.address, this.requestOf(permit));
+            return decision === PermitDecision.Granted ? permit : undefined;
         }
         catch (error) {
             if (error instanceof PeerLostError) {
@@ -82,95 +87,98 @@
         }
     }
 
-    /** Whether a permit still allows its send. Ask in the same synchronous step as the send. */
-    usable(permit: Permit): boolean {
-        if (permit.home === this.parts.self && !this.parts.homes.mayAct(permit.endpoint)) {
+    /** Whether a permit still allows its send. Call it in the same synchronous step as the send. */
+    isUsable(permit: Permit): boolean {
+        if (permit.home === this.dependencies.self && !this.dependencies.homes.mayAct(permit.endpoint)) {
             return false;
         }
-        return this.parts.clock.now() < permit.sendBefore;
+        return this.dependencies.clock.now() < permit.sendBefore;
     }
 
-    /** Gives a permit back to its home. */
-    async giveBack(permit: Permit): Promise<void> {
+    /** Returns a permit to its home. */
+    async release(permit: Permit): Promise<void> {
         const request = this.requestOf(permit);
-        if (permit.home === this.parts.self) {
-            this.returned(request);
+        if (permit.home === this.dependencies.self) {
+            this.handleReturn(request);
             return;
         }
-        const peer = this.parts.membership.peer(permit.home);
+        const peer = this.dependencies.membership.peer(permit.home);
         try {
-            await (peer && this.parts.peers.returnPermit(peer.record.address, request));
+            await (peer && this.dependencies.peers.returnPermit(peer.record.address, request));
         }
         catch (error) {
-            // The home counts the permit until it expires; no harm but some slowness.
+            // The home counts the permit until it expires, which only delays other requests.
             if (!(error instanceof PeerLostError)) {
                 throw error;
             }
         }
     }
 
-    /** Answers a peer that asks this entry as home. */
-    answer(request: PermitRequest): PermitDecision {
-        const endpoint = this.parts.endpoint(request.endpoint);
+    /** Decides on a permit request from a peer. */
+    handleRequest(request: PermitRequest): PermitDecision {
+        const endpoint = this.dependencies.findEndpoint(request.endpoint);
         return endpoint ? this.grant(endpoint, request) : PermitDecision.Denied;
     }
 
-    /** Notes a permit that came back. */
-    returned(request: PermitRequest): void {
-        if (this.suspectSlots.get(request.endpoint)?.permitId === request.permitId) {
-            this.suspectSlots.delete(request.endpoint);
+    /** Frees the capacity of a returned permit. */
+    handleReturn(request: PermitRequest): void {
+        if (this.suspectPermitByEndpoint.get(request.endpoint)?.permitId === request.permitId) {
+            this.suspectPermitByEndpoint.delete(request.endpoint);
         }
-        this.outstanding.get(request.endpoint)?.delete(request.permitId);
+        this.permitExpiriesByEndpoint.get(request.endpoint)?.delete(request.permitId);
     }
 
-    /** Requests that the home would let onto a cold endpoint now. */
-    room(endpoint: Endpoint): number {
-        const used = Math.max(this.outstandingOf(endpoint).size, endpoint.report?.running ?? 0);
-        return this.parts.profileFor(endpoint).coldConcurrency - used;
+    /** Number of further requests that the home may permit on a cold endpoint. */
+    remainingColdCapacity(endpoint: Endpoint): number {
+        const usedSlots = Math.max(this.unexpiredPermits(endpoint).size, endpoint.report?.running ?? 0);
+        return this.dependencies.profileFor(endpoint).coldConcurrency - usedSlots;
     }
 
-    private newPermit(endpoint: Endpoint, home: string, permitId: string, suspect: boolean): Permit {
-        const now = this.parts.clock.now();
+    private createPermit(endpoint: Endpoint, home: string, permitId: string, suspect: boolean): Permit {
+        const now = this.dependencies.clock.now();
         const cold = endpoint.trust(now).type !== "Warm";
         return { permitId, endpoint: endpoint.id, suspect, cold, home, sendBefore: now + permitSendMilliseconds };
     }
 
     private requestOf({ endpoint, permitId, suspect, cold }: Permit): PermitRequest {
-        return { instance: this.parts.self, endpoint, permitId, suspect, cold };
+        return { instance: this.dependencies.self, endpoint, permitId, suspect, cold };
     }
 
-    /** A home that has just been paused may hold an old report: it denies, and believes whoever saw the fall. */
+    /**
+     * Decides on a permit as the endpoint's home. A home that has just been paused may hold a stale report, so it denies
+     * all requests until it has refreshed its state, and a requester that saw the endpoint cold takes precedence.
+     */
     private grant(endpoint: Endpoint, { permitId, suspect, cold }: PermitRequest): PermitDecision {
-        const now = this.parts.clock.now();
+        const now = this.dependencies.clock.now();
         const trust = endpoint.trust(now).type;
-        if (!this.parts.fresh() || !this.parts.homes.mayAct(endpoint.id) || trust === "Closed") {
+        if (!this.dependencies.isStateFresh() || !this.dependencies.homes.mayAct(endpoint.id) || trust === "Closed") {
             return PermitDecision.Denied;
         }
-        const outstanding = this.outstandingOf(endpoint);
-        if (outstanding.has(permitId)) {
+        const permitExpiries = this.unexpiredPermits(endpoint);
+        if (permitExpiries.has(permitId)) {
             return PermitDecision.Granted;
         }
-        const slot = this.suspectSlots.get(endpoint.id);
-        const taken = suspect && slot !== undefined && slot.expiresAt > now;
-        if (taken || ((cold || trust === "Cold") && this.room(endpoint) < 1)) {
+        const suspectPermit = this.suspectPermitByEndpoint.get(endpoint.id);
+        const hasSuspect = suspect && suspectPermit !== undefined && suspectPermit.expiresAt > now;
+        if (hasSuspect || ((cold || trust === "Cold") && this.remainingColdCapacity(endpoint) < 1)) {
             return PermitDecision.Denied;
         }
-        const expiresAt = now + permitHoldMilliseconds;
-        outstanding.set(permitId, expiresAt);
+        const expiresAt = now + permitLifetimeMilliseconds;
+        permitExpiries.set(permitId, expiresAt);
         if (suspect) {
-            this.suspectSlots.set(endpoint.id, { permitId, expiresAt });
+            this.suspectPermitByEndpoint.set(endpoint.id, { permitId, expiresAt });
         }
         return PermitDecision.Granted;
     }
 
-    /** Permits of an endpoint that still count, with their ends. */
-    private outstandingOf(endpoint: Endpoint): Map<string, Milliseconds> {
-        let permits = this.outstanding.get(endpoint.id);
+    /** Removes the expired permits of an endpoint and returns the others with their expiry times. */
+    private unexpiredPermits(endpoint: Endpoint): Map<string, Milliseconds> {
+        let permits = this.permitExpiriesByEndpoint.get(endpoint.id);
         if (!permits) {
             permits = new Map();
-            this.outstanding.set(endpoint.id, permits);
+            this.permitExpiriesByEndpoint.set(endpoint.id, permits);
         }
-        const now = this.parts.clock.now();
+        const now = this.dependencies.clock.now();
         for (const [permitId, expiresAt] of permits) {
             if (expiresAt <= now) {
                 permits.delete(permitId);
--- a/src/core/endpoints.ts
+++ b/src/core/endpoints.ts
@@ -1,4 +1,7 @@
-/** The endpoints of the list: their reports, what this entry has in flight on them, and how far each is trusted. */
+/**
+ * Tracks the endpoints of the instance list: their reports, this entry's attempts in flight on them, and how much load
+ * each can be trusted with. Reports are polled and lag behind, so attempts that a report doesn't include yet are added.
+ */
 import {
     ChangeSignal,
     Clock,
@@ -12,39 +15,39 @@
     Timeline,
 } from "../internal.js";
 
-/** Time between two reports of one endpoint. */
-export const reportMilliseconds = 400;
-/** A report older than this says nothing of the endpoint any more. */
-export const reportStaleMilliseconds = 2_500;
-/** How far a report may lag behind the truth; after a suspicion only a report begun later than this counts. */
-export const reportLagMilliseconds = 600;
+/** Interval between two reports of one endpoint. */
+export const reportIntervalMilliseconds = 400;
+/** An endpoint whose report is older than this is treated as cold. */
+export const maximumReportAgeMilliseconds = 2_500;
+/** Maximum lag of a report; after a suspicion, only a report requested later than this reopens the endpoint. */
+export const maximumReportLagMilliseconds = 600;
 
 /** How much load an endpoint can be trusted with. */
 export type EndpointTrust =
-    /** It bears full load. */
+    /** The endpoint can take full load. */
     | { type: "Warm"; }
-    /** In cold start, or nothing is known: only its home sends to it. */
+    /** The endpoint is in cold start or has no current report: a request needs a permit from its home. */
     | { type: "Cold"; }
-    /** It just failed or refused: nothing is sent until a later report clears it. */
+    /** The endpoint has just failed or refused work: nothing is sent to it until a later report. */
     | { type: "Closed"; };
 
-/** One attempt that runs on an endpoint. */
-export interface InFlight {
+/** One attempt in flight on an endpoint. */
+export interface InFlightAttempt {
     attemptId: string;
     promptTokens: number;
     memoryTokens: number;
-    long: boolean;
-    suspect: boolean;
+    isLong: boolean;
+    isSuspect: boolean;
     fingerprint: string;
     startedAt: Milliseconds;
 }
 
-/** One endpoint. */
+/** The state of one endpoint as this entry knows it. */
 export class Endpoint {
-    readonly inFlight = new Map<string, InFlight>();
+    readonly inFlight = new Map<string, InFlightAttempt>();
     report: EndpointReport | undefined;
-    /** When the exchange that brought the report was begun. */
-    reportAskedAt: Milliseconds = -Infinity;
+    /** When the current report was requested. */
+    reportRequestedAt: Milliseconds = -Infinity;
     suspectedAt: Milliseconds = -Infinity;
 
     constructor(public record: InstanceRecord) {}
@@ -54,43 +57,43 @@
     }
 
     trust(now: Milliseconds): EndpointTrust {
-        if (this.reportAskedAt < this.suspectedAt + reportLagMilliseconds) {
+        if (this.reportRequestedAt < this.suspectedAt + maximumReportLagMilliseconds) {
             return { type: "Closed" };
         }
-        if (!this.report || now - this.reportAskedAt > reportStaleMilliseconds) {
+        if (!this.report || now - this.reportRequestedAt > maximumReportAgeMilliseconds) {
             return { type: "Cold" };
         }
         return this.report.temperature === EndpointTemperature.Warm ? { type: "Warm" } : { type: "Cold" };
     }
 
-    /** Tokens of memory that are free as far as this entry can tell. */
+    /** Estimated free memory in tokens: as reported, less what was sent since; 0 without a report. */
     freeMemoryTokens(): number {
         if (!this.report) {
             return 0;
         }
-        return this.report.memoryCapacityTokens - this.report.memoryUsedTokens - this.unreported().memoryTokens;
+        return this.report.memoryCapacityTokens - this.report.memoryUsedTokens - this.unreportedLoad().memoryTokens;
     }
 
-    /** Prompt tokens that wait for prefill ahead of a new request. */
+    /** Estimated number of prompt tokens that wait for prefill ahead of a new request. */
     waitingPromptTokens(): number {
-        return (this.report?.waitingPromptTokens ?? 0) + this.unreported().promptTokens;
+        return (this.report?.waitingPromptTokens ?? 0) + this.unreportedLoad().promptTokens;
     }
 
-    /** Prompt tokens of the long lane that this entry has in flight here. */
+    /** Prompt tokens of the long lane that this entry has in flight on the endpoint. */
     longTokensInFlight(): number {
         let tokens = 0;
         for (const attempt of this.inFlight.values()) {
-            tokens += attempt.long ? attempt.promptTokens : 0;
+            tokens += attempt.isLong ? attempt.promptTokens : 0;
         }
         return tokens;
     }
 
-    /** What was sent since the report was asked for, and so isn't in it. */
-    private unreported(): { promptTokens: number; memoryTokens: number; } {
+    /** Tokens of the attempts that started too late to be included in the current report. */
+    private unreportedLoad(): { promptTokens: number; memoryTokens: number; } {
         let promptTokens = 0;
         let memoryTokens = 0;
         for (const attempt of this.inFlight.values()) {
-            if (attempt.startedAt + reportLagMilliseconds >= this.reportAskedAt) {
+            if (attempt.startedAt + maximumReportLagMilliseconds >= this.reportRequestedAt) {
                 promptTokens += attempt.promptTokens;
                 memoryTokens += attempt.memoryTokens;
             }
@@ -99,33 +102,33 @@
     }
 }
 
-/** Asks one endpoint for its report. */
-export type Reporter = (record: InstanceRecord) => Promise<EndpointReport>;
+/** Fetches the report of one endpoint. */
+export type FetchReport = (record: InstanceRecord) => Promise<EndpointReport>;
 
-/** What the table works with. */
-export interface EndpointTableParts {
+/** Dependencies of {@link EndpointTable}. */
+export interface EndpointTableDependencies {
     clock: Clock;
     restrictions: Restrictions;
-    report: Reporter;
+    fetchReport: FetchReport;
     log: PartLog;
     timeline: Timeline;
 }
 
-/** All endpoints and one task for each that keeps its report current. */
+/** Holds all endpoints and polls the report of each. */
 export class EndpointTable {
-    /** Notified whenever a waiting request might now be placed. */
+    /** Notified whenever a queued request may have become placeable. */
     readonly changed = new ChangeSignal();
-    private readonly endpoints = new Map<string, Endpoint>();
-    private readonly tasks = new Map<string, AbortController>();
+    private readonly endpointById = new Map<string, Endpoint>();
+    private readonly pollerByEndpointId = new Map<string, AbortController>();
 
-    constructor(private readonly parts: EndpointTableParts) {}
+    constructor(private readonly dependencies: EndpointTableDependencies) {}
 
     get(id: string): Endpoint | undefined {
-        return this.endpoints.get(id);
+        return this.endpointById.get(id);
     }
 
     all(): Endpoint[] {
-        return [...this.endpoints.values()];
+        return [...this.endpointById.values()];
     }
 
     /** Endpoints of a service, restricted ones included. */
@@ -133,93 +136,95 @@
         return this.all().filter(endpoint => endpoint.record.service === service);
     }
 
-    /** Endpoints of a service that may get new work. */
+    /** Endpoints of a service that may receive new work. */
     eligible(service: string): Endpoint[] {
-        return this.ofService(service).filter(endpoint => !this.parts.restrictions.forbids(endpoint.record));
+        return this.ofService(service).filter(endpoint => !this.dependencies.restrictions.forbids(endpoint.record));
     }
 
     trust(endpoint: Endpoint): EndpointTrust {
-        return endpoint.trust(this.parts.clock.now());
+        return endpoint.trust(this.dependencies.clock.now());
     }
 
-    /** Takes the instance list: starts a task for each new endpoint and ends those of the gone. */
-    takeList(records: readonly InstanceRecord[]): void {
-        const listed = new Set<string>();
+    /** Applies the instance list: starts polling each new endpoint and removes the endpoints that are gone. */
+    applyInstanceList(records: readonly InstanceRecord[]): void {
+        const listedIds = new Set<string>();
         for (const record of records) {
             if (record.role !== InstanceRole.Entry) {
-                listed.add(record.id);
-                this.takeRecord(record);
+                listedIds.add(record.id);
+                this.applyRecord(record);
             }
         }
-        for (const [id, task] of this.tasks) {
-            if (!listed.has(id)) {
-                task.abort();
-                this.tasks.delete(id);
-                this.endpoints.delete(id);
+        for (const [id, poller] of this.pollerByEndpointId) {
+            if (!listedIds.has(id)) {
+                poller.abort();
+                this.pollerByEndpointId.delete(id);
+                this.endpointById.delete(id);
             }
         }
         this.changed.notify();
     }
 
-    /** Closes an endpoint until it has proved itself again. */
+    /** Closes an endpoint until a report that is requested after the suspicion. */
     suspect(endpoint: Endpoint, reason: string): void {
-        endpoint.suspectedAt = this.parts.clock.now();
-        this.parts.log.warn("An endpoint is closed on suspicion.", { endpoint: endpoint.id, reason });
-        this.parts.timeline.record("endpoints", "closed", undefined, `${endpoint.id}: ${reason}`);
+        endpoint.suspectedAt = this.dependencies.clock.now();
+        this.dependencies.log.warn("An endpoint was closed on suspicion.", { endpoint: endpoint.id, reason });
+        this.dependencies.timeline.record("endpoints", "closed", undefined, `${endpoint.id}: ${reason}`);
     }
 
     stop(): void {
-        for (const task of this.tasks.values()) {
-            task.abort();
+        for (const poller of this.pollerByEndpointId.values()) {
+            poller.abort();
         }
     }
 
-    private takeRecord(record: InstanceRecord): void {
-        const known = this.endpoints.get(record.id);
-        if (known) {
-            known.record = record;
+    private applyRecord(record: InstanceRecord): void {
+        const existing = this.endpointById.get(record.id);
+        if (existing) {
+            existing.record = record;
             return;
         }
         const endpoint = new Endpoint(record);
-        const task = new AbortController();
-        this.endpoints.set(record.id, endpoint);
-        this.tasks.set(record.id, task);
-        void this.followEndpoint(endpoint, task.signal);
+        const poller = new AbortController();
+        this.endpointById.set(record.id, endpoint);
+        this.pollerByEndpointId.set(record.id, poller);
+        void this.pollReports(endpoint, poller.signal);
     }
 
-    private async followEndpoint(endpoint: Endpoint, signal: AbortSignal): Promise<void> {
+    private async pollReports(endpoint: Endpoint, signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            const askedAt = this.parts.clock.now();
+            const requestedAt = this.dependencies.clock.now();
             try {
-                this.takeReport(endpoint, await this.parts.report(endpoint.record), askedAt);
+                this.applyReport(endpoint, await this.dependencies.fetchReport(endpoint.record), requestedAt);
             }
             catch {
-                this.reportFailed(endpoint);
+                this.recordReportFailure(endpoint);
             }
-            await this.parts.clock.sleep(reportMilliseconds, signal);
+            await this.dependencies.clock.sleep(reportIntervalMilliseconds, signal);
         }
     }
 
-    private takeReport(endpoint: Endpoint, report: EndpointReport, askedAt: Milliseconds): void {
-        const before = endpoint.report;
+    private applyReport(endpoint: Endpoint, report: EndpointReport, requestedAt: Milliseconds): void {
+        const previousReport = endpoint.report;
         endpoint.report = report;
-        endpoint.reportAskedAt = askedAt;
-        if (before && before.incarnation !== report.incarnation) {
-            // A new process is cold whatever its lagging report says, and what ran on the old one is gone.
-            this.suspect(endpoint, "a new incarnation");
+        endpoint.reportRequestedAt = requestedAt;
+        if (previousReport && previousReport.incarnation !== report.incarnation) {
+            // A new process is cold even if its lagging report says warm, and the attempts on the previous process are lost.
+            this.suspect(endpoint, "its incarnation changed");
         }
-        else if (before?.temperature === EndpointTemperature.Warm && report.temperature === EndpointTemperature.Cold) {
-            this.suspect(endpoint, "it fell cold");
+        else if (
+            previousReport?.temperature === EndpointTemperature.Warm && report.temperature === EndpointTemperature.Cold
+        ) {
+            this.suspect(endpoint, "it went from warm to cold");
         }
         this.changed.notify();
     }
 
-    private reportFailed(endpoint: Endpoint): void {
-        const wasTrusted = this.trust(endpoint).type !== "Closed";
-        endpoint.suspectedAt = this.parts.clock.now();
-        if (wasTrusted) {
-            this.parts.log.warn("An endpoint gives no report.", { endpoint: endpoint.id });
-            this.parts.timeline.record("endpoints", "no-report", undefined, endpoint.id);
+    private recordReportFailure(endpoint: Endpoint): void {
+        const wasOpen = this.trust(endpoint).type !== "Closed";
+        endpoint.suspectedAt = this.dependencies.clock.now();
+        if (wasOpen) {
+            this.dependencies.log.warn("An endpoint's report can't be fetched.", { endpoint: endpoint.id });
+            this.dependencies.timeline.record("endpoints", "no-report", undefined, endpoint.id);
         }
     }
 }
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -28,12 +28,12 @@
     PauseGuard,
     PeerConfiguration,
     PeerPort,
-    Placer,
     PlatformHealth,
     PlatformPort,
     Random,
     randomIdentifier,
     relistConfiguration,
+    RequestScheduler,
     Restrictions,
     RetryBudget,
     Router,
@@ -83,7 +83,7 @@
     readonly homes: Homes;
     readonly coldStart: ColdStart;
     readonly suspects: Suspects;
-    readonly placer: Placer;
+    readonly placer: RequestScheduler;
     readonly holdings: Holdings;
     readonly generations: Generations;
     readonly claims: Claims;
@@ -181,7 +181,7 @@
             state: this.state,
             configurationRevision: this.configuration.loaded ? this.configuration.revision : 0,
             provisionalOuts: this.restrictions.pending(),
-            suspects: this.suspects.news(),
+            suspects: this.suspects.updates(),
             homesVersion: this.homes.tableVersion,
             platformDown: this.health.down,
         };
@@ -204,7 +204,7 @@
     /** Takes the news out of a heartbeat that a peer sent by itself. */
     heardFrom(heartbeat: Heartbeat): void {
         this.operations.spread(heartbeat.provisionalOuts);
-        this.suspects.takeNews(heartbeat.suspects);
+        this.suspects.merge(heartbeat.suspects);
     }
 
     /** What a peer lacks beyond `revision`. */
@@ -256,7 +256,7 @@
         return new EndpointTable({
             ...this.ports,
             restrictions: this.restrictions,
-            report: record => this.report(record),
+            fetchReport: record => this.report(record),
             log: this.ports.log("endpoints"),
         });
     }
@@ -273,16 +273,24 @@
             homes: this.homes,
             membership: this.membership,
             self: this.identity.id,
-            endpoint: id => this.table.get(id),
+            findEndpoint: id => this.table.get(id),
             profileFor: endpoint => this.profileFor(endpoint),
-            fresh: () => this.guard.fresh(),
+            isStateFresh: () => this.guard.fresh(),
         });
     }
 
-    private newPlacer(): Placer {
+    private newPlacer(): RequestScheduler {
         const { table, coldStart, suspects, guard } = this;
         const router = new Router(this.ports.random);
-        return new Placer({ ...this.ports, table, coldStart, suspects, guard, router, allowed: this.allowed });
+        return new RequestScheduler({
+            ...this.ports,
+            table,
+            coldStart,
+            suspects,
+            guard,
+            router,
+            mayReceiveWork: this.allowed,
+        });
     }
 
     private newHoldings(): Holdings {
@@ -292,9 +300,19 @@
 
     private newGenerations(): Generations {
         const { placer, holdings, table, suspects, retries, guard, self } = this;
-        const gangs = new Gangs({ ...this.ports, table, holdings, guard, self, allowed: this.allowed });
+        const gangs = new Gangs({ ...this.ports, table, holdings, guard, self, mayReceiveWork: this.allowed });
         const log = this.ports.log("generation");
-        return new Generations({ ...this.ports, placer, gangs, holdings, table, suspects, retries, self, log });
+        return new Generations({
+            ...this.ports,
+            scheduler: placer,
+            gangs,
+            holdings,
+            table,
+            suspects,
+            retries,
+            self,
+            log,
+        });
     }
 
     private newClaims(): Claims {
@@ -304,7 +322,7 @@
 
     private newServiceCalls(): ServiceCalls {
         const { placer, claims, retries, table } = this;
-        return new ServiceCalls({ ...this.ports, placer, claims, retries, table });
+        return new ServiceCalls({ ...this.ports, scheduler: placer, claims, retries, table });
     }
 
     private newOperations(): Operations {
@@ -357,7 +375,7 @@
     private async followList(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.membership.changed.next(signal);
-            this.table.takeList(this.membership.instances());
+            this.table.applyInstanceList(this.membership.instances());
         }
     }
 
--- a/src/core/fairQueue.ts
+++ b/src/core/fairQueue.ts
@@ -1,58 +1,62 @@
-/** Waiting requests, woken in the order of lanes and of the customers' fair shares. */
+/**
+ * Queues requests that wait for an endpoint. Lanes have strict priority, so that short prompts don't wait behind long ones;
+ * within a lane, weighted fair queueing keeps one customer's burst from delaying the others.
+ */
 import { ChangeSignal, Lane, Work } from "../internal.js";
 
-/** Waiters of one lane that get a try at each wake-up; the rest would find nothing left. */
-const wokenPerLane = 32;
-/** Cost of a request besides its tokens, so that many tiny ones weigh something too. */
+/** Waiters of one lane that each wake-up wakes; further ones would find no capacity left. */
+const maximumWokenPerLane = 32;
+/** Fixed cost of a request in addition to its prompt tokens, so that many tiny requests aren't almost free. */
 const baseCostTokens = 200;
-/** Weight of the newest measurement in the drain rate. */
-const rateGain = 0.2;
+/** Weight of the newest measurement in the moving average of the drain rate. */
+const drainRateSmoothing = 0.2;
 
-/** A request that waits. */
+/** A queued request. */
 export interface Waiter {
     work: Work;
-    /** Virtual time at which the customer's share has paid for it. */
-    finish: number;
+    /** Virtual time at which the request would finish if its customer got exactly its fair share. */
+    virtualFinishTime: number;
 }
 
-const costOf = (work: Work): number => (work.promptTokens + baseCostTokens) / work.weight;
+const weightedCost = (work: Work): number => (work.promptTokens + baseCostTokens) / work.weight;
 
 /**
  * A weighted fair queue over lanes.
  *
- * Each customer's requests are stamped with virtual finish times that grow by cost over weight. A customer that sends
- * ten times its share queues behind itself; without this the others would notice their waits growing with its burst.
+ * Each request gets a virtual finish time, which exceeds the previous one of its customer by cost over weight. A customer
+ * that sends ten times its share therefore delays its own requests; in a FIFO queue its burst would delay all customers.
  */
 export class FairQueue {
-    private readonly waiters = new Map<Waiter, () => void>();
-    private readonly lastFinish = new Map<string, number>();
+    private readonly wakeByWaiter = new Map<Waiter, () => void>();
+    private readonly lastFinishByCustomer = new Map<string, number>();
     private virtualTime = 0;
-    private tokensWaiting = 0;
-    private tokensPerMillisecond: number | undefined;
+    private waitingTokens = 0;
+    /** Moving average of the drain rate in prompt tokens per millisecond. */
+    private drainRate: number | undefined;
     private drainedTokens = 0;
-    private drainedSince: number | undefined;
+    private drainPeriodStart: number | undefined;
 
-    /** Stamps a request; call once for each. */
-    enter(work: Work): Waiter {
-        const start = Math.max(this.virtualTime, this.lastFinish.get(work.customer) ?? 0);
-        const finish = start + costOf(work);
-        this.lastFinish.set(work.customer, finish);
-        return { work, finish };
+    /** Assigns a request its virtual finish time; call it once for each request. */
+    createWaiter(work: Work): Waiter {
+        const start = Math.max(this.virtualTime, this.lastFinishByCustomer.get(work.customer) ?? 0);
+        const finish = start + weightedCost(work);
+        this.lastFinishByCustomer.set(work.customer, finish);
+        return { work, virtualFinishTime: finish };
     }
 
-    /** Notes that a request found its place. */
-    served(waiter: Waiter): void {
-        this.virtualTime = Math.max(this.virtualTime, waiter.finish - costOf(waiter.work));
-        for (const [customer, finish] of this.lastFinish) {
+    /** Advances the virtual time after a request was placed. */
+    recordServed(waiter: Waiter): void {
+        this.virtualTime = Math.max(this.virtualTime, waiter.virtualFinishTime - weightedCost(waiter.work));
+        for (const [customer, finish] of this.lastFinishByCustomer) {
             if (finish <= this.virtualTime) {
-                this.lastFinish.delete(customer);
+                this.lastFinishByCustomer.delete(customer);
             }
         }
     }
 
-    /** Whether somebody waits who goes before a newcomer of `lane`. */
-    isBlocked(lane: Lane): boolean {
-        for (const waiter of this.waiters.keys()) {
+    /** Whether a queued request precedes a new request of `lane`. */
+    hasWaiterAhead(lane: Lane): boolean {
+        for (const waiter of this.wakeByWaiter.keys()) {
             if (waiter.work.lane <= lane) {
                 return true;
             }
@@ -61,64 +65,64 @@
     }
 
     get length(): number {
-        return this.waiters.size;
+        return this.wakeByWaiter.size;
     }
 
-    /** Predicted wait of a newcomer in milliseconds, from the rate at which the queue drains. */
+    /** Predicts the wait of a new request in milliseconds from the queue's drain rate. */
     predictWait(): number {
-        if (this.tokensWaiting === 0 || this.tokensPerMillisecond === undefined) {
+        if (this.waitingTokens === 0 || this.drainRate === undefined) {
             return 0;
         }
-        return this.tokensWaiting / this.tokensPerMillisecond;
+        return this.waitingTokens / this.drainRate;
     }
 
     /** Waits for a wake-up, or until `signal` aborts. */
     async wait(waiter: Waiter, signal: AbortSignal): Promise<void> {
-        const woken = new ChangeSignal();
-        const turn = woken.next(signal);
-        this.waiters.set(waiter, () => woken.notify());
-        this.tokensWaiting += waiter.work.promptTokens;
+        const wakeSignal = new ChangeSignal();
+        const turn = wakeSignal.next(signal);
+        this.wakeByWaiter.set(waiter, () => wakeSignal.notify());
+        this.waitingTokens += waiter.work.promptTokens;
         await turn;
-        this.waiters.delete(waiter);
-        this.tokensWaiting -= waiter.work.promptTokens;
+        this.wakeByWaiter.delete(waiter);
+        this.waitingTokens -= waiter.work.promptTokens;
     }
 
-    /** Wakes the first waiters of each lane in order. */
+    /** Wakes the first waiters of each lane in order of lane and virtual finish time. */
     wake(): void {
-        const ordered = [...this.waiters].sort(([first], [second]) =>
-            first.work.lane - second.work.lane || first.finish - second.finish
+        const ordered = [...this.wakeByWaiter].sort(([first], [second]) =>
+            first.work.lane - second.work.lane || first.virtualFinishTime - second.virtualFinishTime
         );
-        const woken = new Map<Lane, number>();
+        const wokenCountByLane = new Map<Lane, number>();
         for (const [waiter, wake] of ordered) {
-            const count = woken.get(waiter.work.lane) ?? 0;
-            if (count < wokenPerLane) {
-                woken.set(waiter.work.lane, count + 1);
+            const count = wokenCountByLane.get(waiter.work.lane) ?? 0;
+            if (count < maximumWokenPerLane) {
+                wokenCountByLane.set(waiter.work.lane, count + 1);
                 wake();
             }
         }
     }
 
-    /** Learns the drain rate from a placement while others wait. */
-    drained(tokens: number, now: number): void {
-        if (this.waiters.size === 0) {
-            this.drainedSince = undefined;
+    /** Updates the drain rate after a placement; an empty queue ends the measurement. */
+    recordDrained(tokens: number, now: number): void {
+        if (this.wakeByWaiter.size === 0) {
+            this.drainPeriodStart = undefined;
             return;
         }
-        if (this.drainedSince === undefined) {
-            this.drainedSince = now;
+        if (this.drainPeriodStart === undefined) {
+            this.drainPeriodStart = now;
             this.drainedTokens = 0;
             return;
         }
         this.drainedTokens += tokens;
-        const span = now - this.drainedSince;
-        if (span < 250) {
+        const elapsed = now - this.drainPeriodStart;
+        if (elapsed < 250) {
             return;
         }
-        const rate = this.drainedTokens / span;
-        this.tokensPerMillisecond = this.tokensPerMillisecond === undefined
+        const rate = this.drainedTokens / elapsed;
+        this.drainRate = this.drainRate === undefined
             ? rate
-            : this.tokensPerMillisecond + rateGain * (rate - this.tokensPerMillisecond);
-        this.drainedSince = now;
+            : this.drainRate + drainRateSmoothing * (rate - this.drainRate);
+        this.drainPeriodStart = now;
         this.drainedTokens = 0;
     }
 }
--- a/src/core/gangs.ts
+++ b/src/core/gangs.ts
@@ -1,4 +1,7 @@
-/** Prompts larger than one engine: disjoint gangs of engines in one data centre, reserved all or nothing. */
+/**
+ * Places prompts that exceed one engine's memory on gangs: disjoint groups of engines in one data centre. The entry
+ * reserves memory on all members of a gang or on none, so that prompts can't deadlock over partly reserved gangs.
+ */
 import {
     Clock,
     Endpoint,
@@ -19,42 +22,42 @@
     Work,
 } from "../internal.js";
 
-/** How long a gang's leader is kept while its other members have no memory free. */
-const gatherMilliseconds = 5_000;
-const gatherRetryMilliseconds = 50;
-const gatherRetryCeilingMilliseconds = 400;
+/** Longest time for which a gang's leader stays reserved while another member lacks free memory. */
+const gatherTimeoutMilliseconds = 5_000;
+const gatherRetryDelayMilliseconds = 50;
+const maximumGatherRetryDelayMilliseconds = 400;
 
-/** A gang with the memory of one prompt reserved. */
+/** A gang with memory reserved for one prompt. */
 export interface GangPlacement {
     leader: Endpoint;
     members: Endpoint[];
     reservationId: string;
-    /** Whether every member still may get work and is warm. */
-    sendAllowed(): boolean;
+    /** Whether every member is warm and may still receive work. */
+    maySend(): boolean;
     release(): Promise<void>;
 }
 
-/** What gangs work with. */
-export interface GangParts {
+/** Dependencies of {@link Gangs}. */
+export interface GangDependencies {
     clock: Clock;
     random: Random;
     table: EndpointTable;
     engines: EnginePort;
     holdings: Holdings;
-    allowed: (endpoint: Endpoint) => boolean;
+    mayReceiveWork: (endpoint: Endpoint) => boolean;
     guard: PauseGuard;
     self: { instance: string; incarnation: string; };
 }
 
-/** Splits endpoints into disjoint gangs of `size` within each data centre, the same on every entry. */
+/** Splits endpoints into disjoint gangs of `size` within each data centre; every entry computes the same gangs. */
 export const formGangs = (endpoints: readonly Endpoint[], size: number): Endpoint[][] => {
-    const byDataCentre = new Map<string, Endpoint[]>();
+    const endpointsByDataCentre = new Map<string, Endpoint[]>();
     for (const endpoint of endpoints) {
         const dataCentre = endpoint.record.dataCentre;
-        byDataCentre.set(dataCentre, [...byDataCentre.get(dataCentre) ?? [], endpoint]);
+        endpointsByDataCentre.set(dataCentre, [...endpointsByDataCentre.get(dataCentre) ?? [], endpoint]);
     }
     const gangs: Endpoint[][] = [];
-    for (const members of byDataCentre.values()) {
+    for (const members of endpointsByDataCentre.values()) {
         members.sort((first, second) => first.id < second.id ? -1 : 1);
         for (let start = 0; start + size <= members.length; start += size) {
             gangs.push(members.slice(start, start + size));
@@ -63,90 +66,96 @@
     return gangs;
 };
 
-const freeMemory = (gang: readonly Endpoint[]): number => Math.min(...gang.map(member => member.freeMemoryTokens()));
+const smallestFreeMemoryTokens = (gang: readonly Endpoint[]): number =>
+    Math.min(...gang.map(member => member.freeMemoryTokens()));
 
 /**
  * Reserves gangs.
  *
- * Two long prompts that each hold half of what both need would wait for each other until their deadlines; one would
- * notice memory in use with nothing running. Gangs are disjoint and every entry reserves a gang's leader first, so
- * whoever holds the leader is alone in gathering the rest.
+ * Two long prompts that each reserved a part of the same memory would deadlock until their deadlines, with memory in use
+ * and nothing running. Gangs are disjoint and every entry reserves the gang's leader first, so only the request that holds
+ * the leader reserves the other members.
  */
 export class Gangs {
-    constructor(private readonly parts: GangParts) {}
+    constructor(private readonly dependencies: GangDependencies) {}
 
-    /** Whether a prompt needs more than one engine of the service. */
-    needed(work: Work): boolean {
-        let capacity = 0;
-        for (const endpoint of this.parts.table.ofService(work.service)) {
-            capacity = Math.max(capacity, endpoint.report?.memoryCapacityTokens ?? 0);
+    /** Whether a request needs more memory than the largest engine of its service has. */
+    isNeededFor(work: Work): boolean {
+        let largestCapacityTokens = 0;
+        for (const endpoint of this.dependencies.table.ofService(work.service)) {
+            largestCapacityTokens = Math.max(largestCapacityTokens, endpoint.report?.memoryCapacityTokens ?? 0);
         }
-        return capacity > 0 && work.memoryTokens > capacity;
+        return largestCapacityTokens > 0 && work.memoryTokens > largestCapacityTokens;
     }
 
-    /** Resolves with a reserved gang. Throws {@link RequestFailure} with `not-run`. */
-    async place(work: Work, service: Service, avoid: ReadonlySet<string>): Promise<GangPlacement> {
+    /** Resolves with a reserved gang. Throws {@link RequestFailure} with `not-run` if none can be reserved in time. */
+    async place(work: Work, service: Service, avoidedEndpoints: ReadonlySet<string>): Promise<GangPlacement> {
         this.checkSize(work, service);
         let round = 0;
         while (true) {
             if (work.deadline.expired || work.signal.aborted) {
-                const detail = "no gang of engines had its memory free before the deadline";
+                const detail = "no gang of engines had enough free memory before the deadline";
                 throw new RequestFailure(FailureKind.Overloaded, Execution.NotRun, detail, 10);
             }
-            for (const gang of this.candidates(work, service, avoid)) {
+            for (const gang of this.candidateGangs(work, service, avoidedEndpoints)) {
                 const placement = await this.reserve(work, gang);
                 if (placement) {
                     return placement;
                 }
             }
-            const wait = fullJitter(
-                this.parts.random,
-                gatherRetryMilliseconds,
+            const retryDelay = fullJitter(
+                this.dependencies.random,
+                gatherRetryDelayMilliseconds,
                 round++,
-                gatherRetryCeilingMilliseconds,
+                maximumGatherRetryDelayMilliseconds,
+            );
+            await this.dependencies.clock.sleep(
+                work.deadline.bounded(gatherRetryDelayMilliseconds + retryDelay),
+                work.signal,
             );
-            await this.parts.clock.sleep(work.deadline.bounded(gatherRetryMilliseconds + wait), work.signal);
         }
     }
 
     private checkSize(work: Work, service: Service): void {
-        let capacity = 0;
-        for (const gang of formGangs(this.parts.table.ofService(work.service), service.gangSize)) {
+        let largestCapacityTokens = 0;
+        for (const gang of formGangs(this.dependencies.table.ofService(work.service), service.gangSize)) {
             const capacities = gang.map(member => member.report?.memoryCapacityTokens ?? 0);
-            capacity = Math.max(capacity, Math.min(...capacities) * gang.length);
+            largestCapacityTokens = Math.max(largestCapacityTokens, Math.min(...capacities) * gang.length);
         }
-        if (work.memoryTokens > capacity) {
-            const detail = `the prompt and its answer take ${work.memoryTokens} tokens; `
-                + `the largest gang of engines holds ${capacity}`;
+        if (work.memoryTokens > largestCapacityTokens) {
+            const detail = `the prompt and its response take ${work.memoryTokens} tokens; `
+                + `the largest gang of engines holds ${largestCapacityTokens}`;
             throw new RequestFailure(FailureKind.PromptTooLarge, Execution.NotRun, detail);
         }
     }
 
-    private candidates(work: Work, service: Service, avoid: ReadonlySet<string>): Endpoint[][] {
-        const gangs = formGangs(this.parts.table.ofService(work.service), service.gangSize);
-        const usable = gangs.filter(gang => this.usable(gang));
-        const fresh = usable.filter(gang => !gang.some(member => avoid.has(member.id)));
-        const share = work.memoryTokens / service.gangSize;
-        return (fresh.length > 0 ? fresh : usable)
-            .filter(gang => freeMemory(gang) >= share)
-            .sort((first, second) => freeMemory(second) - freeMemory(first));
+    private candidateGangs(work: Work, service: Service, avoidedEndpoints: ReadonlySet<string>): Endpoint[][] {
+        const gangs = formGangs(this.dependencies.table.ofService(work.service), service.gangSize);
+        const usableGangs = gangs.filter(gang => this.isUsable(gang));
+        const untried = usableGangs.filter(gang => !gang.some(member => avoidedEndpoints.has(member.id)));
+        const memberShareTokens = work.memoryTokens / service.gangSize;
+        return (untried.length > 0 ? untried : usableGangs)
+            .filter(gang => smallestFreeMemoryTokens(gang) >= memberShareTokens)
+            .sort((first, second) => smallestFreeMemoryTokens(second) - smallestFreeMemoryTokens(first));
     }
 
-    private usable(gang: readonly Endpoint[]): boolean {
-        return this.parts.guard.fresh()
-            && gang.every(member => this.parts.allowed(member) && this.parts.table.trust(member).type === "Warm");
+    private isUsable(gang: readonly Endpoint[]): boolean {
+        return this.dependencies.guard.fresh()
+            && gang.every(member =>
+                this.dependencies.mayReceiveWork(member) && this.dependencies.table.trust(member).type === "Warm"
+            );
     }
 
     private async reserve(work: Work, gang: Endpoint[]): Promise<GangPlacement | undefined> {
-        const reservationId = `gang-${randomIdentifier(this.parts.random)}`;
-        const share = Math.ceil(work.memoryTokens / gang.length);
-        const gatherUntil = this.parts.clock.now() + work.deadline.bounded(gatherMilliseconds);
+        const reservationId = `gang-${randomIdentifier(this.dependencies.random)}`;
+        const memberShareTokens = Math.ceil(work.memoryTokens / gang.length);
+        const gatherUntil = this.dependencies.clock.now() + work.deadline.bounded(gatherTimeoutMilliseconds);
         const reserved: Endpoint[] = [];
-        this.parts.holdings.claim(reservationId);
+        this.dependencies.holdings.register(reservationId);
         for (const member of gang) {
-            const until = reserved.length === 0 ? 0 : gatherUntil;
+            const retryUntil = reserved.length === 0 ? 0 : gatherUntil;
             reserved.push(member);
-            if (!await this.reserveMember(member, reservationId, share, until, work)) {
+            if (!await this.reserveMember(member, reservationId, memberShareTokens, retryUntil, work)) {
                 await this.releaseAll(reserved, reservationId);
                 return undefined;
             }
@@ -155,7 +164,7 @@
             leader: gang[0]!,
             members: gang,
             reservationId,
-            sendAllowed: () => this.usable(gang),
+            maySend: () => this.isUsable(gang),
             release: () => this.releaseAll(gang, reservationId),
         };
     }
@@ -164,13 +173,13 @@
         member: Endpoint,
         id: string,
         tokens: number,
-        until: number,
+        retryUntil: number,
         work: Work,
     ): Promise<boolean> {
-        const { instance: owner, incarnation: ownerIncarnation } = this.parts.self;
+        const { instance: owner, incarnation: ownerIncarnation } = this.dependencies.self;
         while (true) {
             try {
-                await this.parts.engines.reserve(member.record.address, {
+                await this.dependencies.engines.reserve(member.record.address, {
                     id,
                     kind: "reservation",
                     owner,
@@ -183,16 +192,18 @@
                 if (error instanceof EngineLostError) {
                     return false;
                 }
-                const full = error instanceof EngineRefusedError && error.refusal === EngineRefusal.Memory;
-                if (!full || this.parts.clock.now() >= until) {
+                const lacksMemory = error instanceof EngineRefusedError && error.refusal === EngineRefusal.Memory;
+                if (!lacksMemory || this.dependencies.clock.now() >= retryUntil) {
                     return false;
                 }
             }
-            await this.parts.clock.sleep(gatherRetryMilliseconds, work.signal);
+            await this.dependencies.clock.sleep(gatherRetryDelayMilliseconds, work.signal);
         }
     }
 
     private async releaseAll(members: readonly Endpoint[], reservationId: string): Promise<void> {
-        await Promise.all(members.map(member => this.parts.holdings.release(member.record.address, reservationId)));
+        await Promise.all(
+            members.map(member => this.dependencies.holdings.release(member.record.address, reservationId)),
+        );
     }
 }
--- a/src/core/generation.ts
+++ b/src/core/generation.ts
@@ -1,4 +1,8 @@
-/** One generation, from its place on an engine to the last token: silence, resuming, and running again. */
+/**
+ * Runs generations from placement to the last token. When a connection to an engine fails or stalls, the entry resumes the
+ * stream over a new connection; when the engine or the stream is lost, it retries on another engine behind the tokens that
+ * the caller already has.
+ */
 import {
     Clock,
     Deadline,
@@ -19,8 +23,8 @@
     Holdings,
     Lane,
     PartLog,
-    Placer,
     RequestFailure,
+    RequestScheduler,
     RetryBudget,
     RoutingPolicy,
     Service,
@@ -32,14 +36,14 @@
     Work,
 } from "../internal.js";
 
-/** A stream is given up after this many new connections in a row that bring nothing. */
-const idleResumes = 2;
-/** Time an engine gets to accept a stream. */
-const acceptMilliseconds = 2_000;
-/** Attempts that may fail on endpoints before the request itself fails. */
-const lossesAtMost = 6;
+/** A stream is abandoned after more than this many consecutive connections without a new token; stalls don't count. */
+const maximumIdleResumes = 2;
+/** Timeout for an engine to accept a stream. */
+const acceptTimeoutMilliseconds = 2_000;
+/** The request fails after this many lost attempts. */
+const maximumLosses = 6;
 
-/** A generation as a caller asked for it. */
+/** A generation requested by a caller. */
 export interface GenerationRequest {
     work: Work;
     service: Service;
@@ -47,16 +51,16 @@
     maximumTokens: number;
 }
 
-/** A piece of the answer, in order and without gaps. */
+/** A chunk of the response; chunks arrive in order and without gaps. */
 export type ResponseChunk =
     | { type: "Text"; text: string; tokens: number; }
     | { type: "End"; finishReason: FinishReason; tokens: number; };
 
-/** What generations work with. */
-export interface GenerationParts {
+/** Dependencies of {@link Generations}. */
+export interface GenerationDependencies {
     clock: Clock;
     engines: EnginePort;
-    placer: Placer;
+    scheduler: RequestScheduler;
     gangs: Gangs;
     holdings: Holdings;
     table: EndpointTable;
@@ -67,104 +71,110 @@
     self: { instance: string; incarnation: string; };
 }
 
-/** Where one attempt runs, on one engine or on a gang. */
-interface AttemptPlace {
+/** The engine or gang that runs one attempt. */
+interface AttemptTarget {
     endpoint: Endpoint;
     members: Endpoint[];
     gang?: { reservationId: string; size: number; };
-    sendAllowed(): boolean;
+    maySend(): boolean;
     release(): void;
 }
 
 /** How one attempt ended. */
 type AttemptOutcome =
     | { type: "Finished"; }
-    /** Nothing ran: the engine refused, or nothing was sent. */
+    /** Nothing ran: the engine refused the request, or the request was not sent. */
     | { type: "NotRun"; reason: string; }
-    /** The engine or its answer was lost on the way. */
+    /** The engine or the connection failed after the request may have been read. */
     | { type: "Lost"; reason: string; };
 
-/** A connection to a running stream, or why there is none. */
+/** An open connection to a running stream, or the outcome of an attempt that has none. */
 type Connection =
     | { type: "Open"; frames: AsyncIterable<EngineFrame>; }
     | Exclude<AttemptOutcome, { type: "Finished"; }>;
 
-/** How reading one connection ended. */
-type Reading =
+/** How reading from one connection ended. */
+type ReadOutcome =
     | { type: "Finished"; }
     | { type: "Silent"; reason: string; }
     | { type: "Cut"; reason: string; };
 
-/** State of one request over its attempts. */
-interface Progress {
+/** State of one request across its attempts. */
+interface RequestProgress {
     attempt: number;
-    /** Attempts that were lost on their endpoints. */
-    losses: number;
+    /** Number of lost attempts. */
+    lossCount: number;
     tokensSent: number;
-    avoid: Set<string>;
-    ran: boolean;
+    avoidedEndpoints: Set<string>;
+    mayHaveRun: boolean;
 }
 
-/** The baselines know no lanes: they leave the engines' order to the engines. */
-const priorityOf = ({ lane, profile }: Work): EnginePriority => {
+/** Only the short-first policy has lanes; with the other policies, all requests have the same priority on the engines. */
+const enginePriorityOf = ({ lane, profile }: Work): EnginePriority => {
     if (profile.policy !== RoutingPolicy.ShortFirst) {
         return EnginePriority.Medium;
     }
     return lane === Lane.Short ? EnginePriority.Short : EnginePriority.Long;
 };
 
-/** Runs generations. */
+/** Runs generations and retries the attempts that fail. */
 export class Generations {
-    constructor(private readonly parts: GenerationParts) {}
+    constructor(private readonly dependencies: GenerationDependencies) {}
 
     /**
-     * Yields the whole answer in order.
+     * Yields the whole response in order.
      *
-     * Throws {@link RequestFailure}. Whoever stops reading early must call `return` on the iterator: that ends the
-     * stream on the engine.
+     * Throws {@link RequestFailure}. A reader that stops early must call `return` on the iterator, which ends the stream
+     * on the engine.
      */
     async *run(request: GenerationRequest): AsyncGenerator<ResponseChunk, void> {
-        const progress: Progress = { attempt: 0, losses: 0, tokensSent: 0, avoid: new Set(), ran: false };
-        this.parts.retries.firstAttempt(request.work.profile.retryShare);
+        const progress: RequestProgress = {
+            attempt: 0,
+            lossCount: 0,
+            tokensSent: 0,
+            avoidedEndpoints: new Set(),
+            mayHaveRun: false,
+        };
+        this.dependencies.retries.recordFirstAttempt(request.work.profile.retryShare);
         while (true) {
-            const place = await this.findPlace(request, progress);
-            const outcome = yield* this.runAttempt(request, place, progress);
+            const target = await this.findTarget(request, progress);
+            const outcome = yield* this.runAttempt(request, target, progress);
             if (outcome.type === "Finished") {
-                this.parts.suspects.clear(request.work.fingerprint);
+                this.dependencies.suspects.recordCompletion(request.work.fingerprint);
                 return;
             }
-            this.note(request, place, outcome);
-            await this.prepareRetry(request, place, progress, outcome);
+            this.recordFailedAttempt(request, target, outcome);
+            await this.prepareRetry(request, target, progress, outcome);
         }
     }
 
-    private async findPlace(request: GenerationRequest, progress: Progress): Promise<AttemptPlace> {
+    private async findTarget(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
         try {
-            return this.parts.gangs.needed(request.work)
-                ? await this.findGang(request, progress)
-                : await this.findEndpoint(request, progress);
+            return this.dependencies.gangs.isNeededFor(request.work)
+                ? await this.targetGang(request, progress)
+                : await this.targetEndpoint(request, progress);
         }
         catch (error) {
-            if (error instanceof RequestFailure && progress.ran) {
-                // An earlier attempt ran, so "not run" would no longer be true.
+            if (error instanceof RequestFailure && progress.mayHaveRun) {
+                // An earlier attempt may have run, so the failure must not claim `not-run`.
                 throw new RequestFailure(error.kind, Execution.Ran, error.message, error.retryAfterSeconds);
             }
             throw error;
         }
     }
 
-    private async findEndpoint(request: GenerationRequest, progress: Progress): Promise<AttemptPlace> {
-        const placement = await this.parts.placer.place(request.work, progress.avoid);
+    private async targetEndpoint(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
+        const placement = await this.dependencies.scheduler.place(request.work, progress.avoidedEndpoints);
         return { ...placement, members: [placement.endpoint] };
     }
 
-    private async findGang(request: GenerationRequest, progress: Progress): Promise<AttemptPlace> {
-        const gang = await this.parts.gangs.place(request.work, request.service, progress.avoid);
+    private async targetGang(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
+        const gang = await this.dependencies.gangs.place(request.work, request.service, progress.avoidedEndpoints);
         return {
             endpoint: gang.leader,
             members: gang.members,
             gang: { reservationId: gang.reservationId, size: gang.members.length },
-            sendAllowed: gang.sendAllowed,
+            maySend: gang.maySend,
             release: () => {
                 void gang.release();
             },
@@ -173,166 +183,184 @@
 
     private async *runAttempt(
         request: GenerationRequest,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
     ): AsyncGenerator<ResponseChunk, AttemptOutcome> {
         const { work } = request;
         const streamId = `${work.requestId}.${progress.attempt}`;
-        const stop = new AbortController();
-        const end = () => stop.abort();
-        work.signal.addEventListener("abort", end, { once: true });
-        let finished = false;
-        this.parts.holdings.claim(streamId);
-        this.parts.timeline.record("generation", "attempt", work.requestId, `${streamId} on ${place.endpoint.id}`);
+        const attemptController = new AbortController();
+        const abortAttempt = () => attemptController.abort();
+        work.signal.addEventListener("abort", abortAttempt, { once: true });
+        let isFinished = false;
+        this.dependencies.holdings.register(streamId);
+        this.dependencies.timeline.record(
+            "generation",
+            "attempt",
+            work.requestId,
+            `${streamId} on ${target.endpoint.id}`,
+        );
         try {
-            const outcome = yield* this.follow(request, place, progress, streamId, stop.signal);
-            finished = outcome.type === "Finished";
+            const outcome = yield* this.readStream(request, target, progress, streamId, attemptController.signal);
+            isFinished = outcome.type === "Finished";
             return outcome;
         }
         finally {
-            stop.abort();
-            work.signal.removeEventListener("abort", end);
-            this.parts.holdings.ended(streamId);
-            if (!finished) {
-                void this.parts.holdings.release(place.endpoint.record.address, streamId);
+            attemptController.abort();
+            work.signal.removeEventListener("abort", abortAttempt);
+            this.dependencies.holdings.unregister(streamId);
+            if (!isFinished) {
+                void this.dependencies.holdings.release(target.endpoint.record.address, streamId);
             }
-            place.release();
+            target.release();
         }
     }
 
-    /** Reads the stream, over new connections where an old one fails or goes silent. */
-    private async *follow(
+    /** Reads the stream and resumes it over a new connection whenever one fails or stalls. */
+    private async *readStream(
         request: GenerationRequest,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
         streamId: string,
         signal: AbortSignal,
     ): AsyncGenerator<ResponseChunk, AttemptOutcome> {
         const { work } = request;
-        let connection = await this.open(request, place, progress, streamId, signal);
-        let idle = 0;
+        let connection = await this.openStream(request, target, progress, streamId, signal);
+        let idleConnectionCount = 0;
         while (true) {
             if (connection.type !== "Open") {
                 return connection;
             }
-            const before = progress.tokensSent;
-            const reading = yield* this.read(connection.frames, work, progress, streamId);
-            if (reading.type === "Finished") {
-                return reading;
+            const tokensSentBefore = progress.tokensSent;
+            const readOutcome = yield* this.readConnection(connection.frames, work, progress, streamId);
+            if (readOutcome.type === "Finished") {
+                return readOutcome;
             }
             this.checkDeadline(work, progress);
-            idle = progress.tokensSent > before || reading.type === "Silent" ? 0 : idle + 1;
-            if (idle > idleResumes) {
-                return { type: "Lost", reason: reading.reason };
+            idleConnectionCount = progress.tokensSent > tokensSentBefore || readOutcome.type === "Silent"
+                ? 0
+                : idleConnectionCount + 1;
+            if (idleConnectionCount > maximumIdleResumes) {
+                return { type: "Lost", reason: readOutcome.reason };
             }
-            this.parts.timeline.record("generation", "resume", work.requestId, `${streamId}: ${reading.reason}`);
-            connection = await this.reopen(place, progress, streamId, work.deadline, signal);
+            this.dependencies.timeline.record(
+                "generation",
+                "resume",
+                work.requestId,
+                `${streamId}: ${readOutcome.reason}`,
+            );
+            connection = await this.resumeStream(target, progress, streamId, work.deadline, signal);
         }
     }
 
-    private async open(
+    private async openStream(
         request: GenerationRequest,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
         streamId: string,
         signal: AbortSignal,
     ): Promise<Connection> {
-        if (!place.sendAllowed()) {
-            return { type: "NotRun", reason: "the endpoint's state changed before the send" };
+        if (!target.maySend()) {
+            return { type: "NotRun", reason: "the endpoint's state changed between placement and send" };
         }
-        const engineRequest = this.engineRequest(request, place, progress, streamId);
-        const address = place.endpoint.record.address;
-        const limit = request.work.deadline.bounded(acceptMilliseconds + request.prompt.length / 1_000);
+        const engineRequest = this.buildEngineRequest(request, target, progress, streamId);
+        const address = target.endpoint.record.address;
+        const limit = request.work.deadline.bounded(acceptTimeoutMilliseconds + request.prompt.length / 1_000);
         try {
             const frames = await withTimeout(
-                this.parts.clock,
+                this.dependencies.clock,
                 limit,
                 "an engine's acceptance",
-                inner => this.parts.engines.generate(address, engineRequest, inner, signal),
+                openingSignal => this.dependencies.engines.generate(address, engineRequest, openingSignal, signal),
             );
-            progress.ran = true;
+            progress.mayHaveRun = true;
             return { type: "Open", frames };
         }
         catch (error) {
-            return this.notOpened(error, place, progress, request.work.deadline, streamId, signal);
+            return this.handleOpenFailure(error, target, progress, request.work.deadline, streamId, signal);
         }
     }
 
-    private async notOpened(
+    private async handleOpenFailure(
         error: unknown,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
         deadline: Deadline,
         streamId: string,
         signal: AbortSignal,
     ): Promise<Connection> {
         if (error instanceof EngineRefusedError) {
             if (error.refusal === EngineRefusal.Busy) {
-                this.parts.table.suspect(place.endpoint, "it refused work");
+                this.dependencies.table.suspect(target.endpoint, "it refused work as busy");
             }
             return { type: "NotRun", reason: error.message };
         }
         if (error instanceof EngineLostError && !error.written) {
-            this.parts.table.suspect(place.endpoint, "no connection");
+            this.dependencies.table.suspect(target.endpoint, "it can't be connected to");
             return { type: "NotRun", reason: error.message };
         }
         if (error instanceof EngineLostError || error instanceof TimeLimitError) {
-            // The request may have been read: only the engine knows whether the stream exists.
-            progress.ran = true;
-            return this.reopen(place, progress, streamId, deadline, signal);
+            // The engine may have read the request, so resume the stream instead of starting another one.
+            progress.mayHaveRun = true;
+            return this.resumeStream(target, progress, streamId, deadline, signal);
         }
         throw error;
     }
 
-    private async reopen(
-        place: AttemptPlace,
-        progress: Progress,
+    private async resumeStream(
+        target: AttemptTarget,
+        progress: RequestProgress,
         streamId: string,
         deadline: Deadline,
         signal: AbortSignal,
     ): Promise<Connection> {
-        const address = place.endpoint.record.address;
+        const address = target.endpoint.record.address;
         try {
-            const limit = deadline.bounded(acceptMilliseconds);
+            const limit = deadline.bounded(acceptTimeoutMilliseconds);
             const frames = await withTimeout(
-                this.parts.clock,
+                this.dependencies.clock,
                 limit,
                 "an engine's acceptance",
-                inner => this.parts.engines.resume(address, streamId, progress.tokensSent, inner, signal),
+                openingSignal =>
+                    this.dependencies.engines.resume(address, streamId, progress.tokensSent, openingSignal, signal),
             );
             return { type: "Open", frames };
         }
         catch (error) {
-            const known = error instanceof EngineRefusedError || error instanceof EngineLostError
+            const isExpected = error instanceof EngineRefusedError || error instanceof EngineLostError
                 || error instanceof TimeLimitError;
-            if (known) {
+            if (isExpected) {
                 return { type: "Lost", reason: describeError(error) };
             }
             throw error;
         }
     }
 
-    private async *read(
+    private async *readConnection(
         frames: AsyncIterable<EngineFrame>,
         work: Work,
-        progress: Progress,
+        progress: RequestProgress,
         streamId: string,
-    ): AsyncGenerator<ResponseChunk, Reading> {
+    ): AsyncGenerator<ResponseChunk, ReadOutcome> {
         const iterator = frames[Symbol.asyncIterator]();
         try {
             while (true) {
                 const limit = work.deadline.bounded(work.profile.silenceMilliseconds);
-                const next = await withTimeout(this.parts.clock, limit, "the next frame", () => iterator.next());
-                if (next.done) {
+                const nextFrame = await withTimeout(
+                    this.dependencies.clock,
+                    limit,
+                    "the next frame",
+                    () => iterator.next(),
+                );
+                if (nextFrame.done) {
                     return { type: "Cut", reason: "the stream ended without its end marker" };
                 }
-                const piece = this.accept(next.value, progress, streamId);
-                if (piece === "Gap") {
-                    return { type: "Cut", reason: "a piece of the answer is missing" };
+                const chunk = this.acceptFrame(nextFrame.value, progress, streamId);
+                if (chunk === "Gap") {
+                    return { type: "Cut", reason: "a part of the response is missing" };
                 }
-                if (piece !== "Drop") {
-                    yield piece;
-                    if (piece.type === "End") {
+                if (chunk !== "Drop") {
+                    yield chunk;
+                    if (chunk.type === "End") {
                         return { type: "Finished" };
                     }
                 }
@@ -348,13 +376,17 @@
             throw error;
         }
         finally {
-            // Not awaited: ending a silent connection may never settle.
+            // Not awaited, because closing a stalled connection may never settle.
             void iterator.return?.()?.catch(() => {});
         }
     }
 
-    /** Takes a frame only where it belongs: same stream, same attempt, next offset. */
-    private accept(frame: EngineFrame, progress: Progress, streamId: string): ResponseChunk | "Drop" | "Gap" {
+    /** Accepts a frame only if it belongs to this stream and attempt and continues at the next offset. */
+    private acceptFrame(
+        frame: EngineFrame,
+        progress: RequestProgress,
+        streamId: string,
+    ): ResponseChunk | "Drop" | "Gap" {
         if (frame.streamId !== streamId || frame.attempt !== progress.attempt) {
             return "Drop";
         }
@@ -373,86 +405,86 @@
         return { type: "Text", text: frame.text, tokens: frame.count };
     }
 
-    private engineRequest(
+    private buildEngineRequest(
         request: GenerationRequest,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
         streamId: string,
     ): EngineRequest {
         return {
             streamId,
             attempt: progress.attempt,
-            owner: this.parts.self.instance,
-            ownerIncarnation: this.parts.self.incarnation,
+            owner: this.dependencies.self.instance,
+            ownerIncarnation: this.dependencies.self.incarnation,
             prompt: request.prompt,
             promptTokens: request.work.promptTokens,
             maximumTokens: request.maximumTokens,
             startOffset: progress.tokensSent,
-            priority: priorityOf(request.work),
+            priority: enginePriorityOf(request.work),
             remainingMilliseconds: request.work.deadline.remaining(),
-            gang: place.gang,
+            gang: target.gang,
         };
     }
 
-    private note(request: GenerationRequest, place: AttemptPlace, outcome: AttemptOutcome): void {
+    private recordFailedAttempt(request: GenerationRequest, target: AttemptTarget, outcome: AttemptOutcome): void {
         const reason = outcome.type === "Finished" ? "" : outcome.reason;
-        this.parts.log.warn("An attempt failed.", {
+        this.dependencies.log.warn("An attempt failed.", {
             requestId: request.work.requestId,
-            endpoint: place.endpoint.id,
+            endpoint: target.endpoint.id,
             reason,
         });
-        this.parts.timeline.record("generation", "attempt-failed", request.work.requestId, reason);
+        this.dependencies.timeline.record("generation", "attempt-failed", request.work.requestId, reason);
     }
 
     private async prepareRetry(
         request: GenerationRequest,
-        place: AttemptPlace,
-        progress: Progress,
+        target: AttemptTarget,
+        progress: RequestProgress,
         outcome: AttemptOutcome,
     ): Promise<void> {
         const { work } = request;
         if (outcome.type === "Lost") {
             const limit = work.deadline.remaining();
             await withTimeoutOrUndefined(
-                this.parts.clock,
+                this.dependencies.clock,
                 limit,
                 "an endpoint's report",
-                () => this.judgeLoss(work, place),
+                () => this.recordCrashes(work, target),
             );
         }
         this.checkDeadline(work, progress);
         progress.attempt++;
-        for (const member of place.members) {
-            progress.avoid.add(member.id);
+        for (const member of target.members) {
+            progress.avoidedEndpoints.add(member.id);
         }
         if (outcome.type === "NotRun") {
-            // Refusals must not spin: the endpoint's next report decides.
-            await this.parts.clock.sleep(work.deadline.bounded(20), work.signal);
+            // The delay keeps refusals from causing a busy loop until the endpoint's next report.
+            await this.dependencies.clock.sleep(work.deadline.bounded(20), work.signal);
             return;
         }
-        progress.losses++;
-        if (progress.losses >= lossesAtMost || !this.parts.retries.takeRetry()) {
-            const execution = progress.ran ? Execution.Ran : Execution.NotRun;
-            const detail = "the request failed on its endpoints and the budget for retries is spent";
+        progress.lossCount++;
+        if (progress.lossCount >= maximumLosses || !this.dependencies.retries.tryTakeRetry()) {
+            const execution = progress.mayHaveRun ? Execution.Ran : Execution.NotRun;
+            const detail = "the attempts failed and no further retry is allowed";
             throw new RequestFailure(FailureKind.RetriesExhausted, execution, detail, 2);
         }
     }
 
-    /** Finds out whether the endpoint died with this request on it. */
-    private async judgeLoss(work: Work, place: AttemptPlace): Promise<void> {
-        for (const member of place.members) {
+    /** Closes the target's endpoints and records a crash for each that died while it ran this request. */
+    private async recordCrashes(work: Work, target: AttemptTarget): Promise<void> {
+        for (const member of target.members) {
             const incarnation = member.report?.incarnation;
-            this.parts.table.suspect(member, "a stream was lost on it");
-            if (incarnation !== undefined && await this.hasDied(member, incarnation)) {
-                this.parts.suspects.crashed(work.fingerprint, incarnation);
+            this.dependencies.table.suspect(member, "a stream on it was lost");
+            if (incarnation !== undefined && await this.hasCrashed(member, incarnation)) {
+                this.dependencies.suspects.recordCrash(work.fingerprint, incarnation);
             }
         }
     }
 
-    /** A refused connection or a new process proves a death; mere silence doesn't. */
-    private async hasDied(endpoint: Endpoint, incarnation: string): Promise<boolean> {
+    /** Only a refused connection or a new incarnation proves a crash; a missing response doesn't. */
+    private async hasCrashed(endpoint: Endpoint, incarnation: string): Promise<boolean> {
         try {
-            const report = await this.parts.engines.report(endpoint.record.address);
+            const report = await this.dependencies.engines.report(endpoint.record.address);
             return report.incarnation !== incarnation;
         }
         catch (error) {
@@ -460,13 +492,13 @@
         }
     }
 
-    private checkDeadline(work: Work, progress: Progress): void {
-        const execution = progress.ran ? Execution.Ran : Execution.NotRun;
+    private checkDeadline(work: Work, progress: RequestProgress): void {
+        const execution = progress.mayHaveRun ? Execution.Ran : Execution.NotRun;
         if (work.signal.aborted) {
-            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the caller went away");
+            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the caller has disconnected");
         }
         if (work.deadline.expired) {
-            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the deadline passed", 1);
+            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the deadline has expired", 1);
         }
     }
 }
--- a/src/core/holdings.ts
+++ b/src/core/holdings.ts
@@ -1,4 +1,7 @@
-/** What this entry holds on engines, and the reclaiming of what nobody claims. */
+/**
+ * Tracks the streams and reservations that this entry holds on engines. It also reclaims holdings whose owner has died or
+ * whose release was lost, because they would use the engine's memory forever.
+ */
 import {
     Clock,
     describeError,
@@ -18,15 +21,15 @@
     Timeline,
 } from "../internal.js";
 
-/** Time between two looks at what an engine holds. */
-export const reclaimMilliseconds = 2_000;
-/** A holding must stay unclaimed this long before it is released. */
-export const unclaimedGraceMilliseconds = 5_000;
-const releaseTries = 4;
-const releaseRetryMilliseconds = 200;
+/** Interval between two checks of an engine's holdings. */
+export const reclaimIntervalMilliseconds = 2_000;
+/** A holding is released after its owner hasn't claimed it for this long. */
+export const unclaimedGracePeriodMilliseconds = 5_000;
+const maximumReleaseAttempts = 4;
+const releaseRetryDelayMilliseconds = 200;
 
-/** What holdings work with. */
-export interface HoldingsParts {
+/** Dependencies of {@link Holdings}. */
+export interface HoldingsDependencies {
     clock: Clock;
     random: Random;
     engines: EnginePort;
@@ -39,110 +42,112 @@
 }
 
 /**
- * Keeps account of streams and reservations.
+ * Registers this entry's holdings and reclaims those of lost owners.
  *
- * An entry that dies, or whose cancel is lost, leaves a stream or a reservation behind that nobody will ever end; one
- * would notice an engine's free memory shrinking for good. One entry for each engine lists what the engine holds,
- * asks the named owner, and releases what no owner claims. An owner that is only slow or cut off keeps its holdings
- * as long as the instance list shows it with the same incarnation.
+ * An entry that dies, or whose release message is lost, leaves a stream or a reservation behind that leaks the engine's
+ * memory. For each engine one entry, chosen by rendezvous hashing, lists the engine's holdings, asks their owners, and
+ * releases the holdings that no owner claims. An owner that is slow or unreachable keeps its holdings as long as the
+ * instance list shows it with the same incarnation.
  */
 export class Holdings {
-    private readonly live = new Set<string>();
-    private readonly unclaimedSince = new Map<string, Milliseconds>();
+    private readonly liveIds = new Set<string>();
+    private readonly unclaimedSinceByHolding = new Map<string, Milliseconds>();
 
-    constructor(private readonly parts: HoldingsParts) {}
+    constructor(private readonly dependencies: HoldingsDependencies) {}
 
-    /** Notes a holding before it is asked for. */
-    claim(holdingId: string): void {
-        this.live.add(holdingId);
+    /** Registers a holding; call it before the holding is requested from the engine. */
+    register(holdingId: string): void {
+        this.liveIds.add(holdingId);
     }
 
-    /** Notes that a holding ended by itself. */
-    ended(holdingId: string): void {
-        this.live.delete(holdingId);
+    /** Removes a holding that has ended on the engine. */
+    unregister(holdingId: string): void {
+        this.liveIds.delete(holdingId);
     }
 
-    /** Which of these holdings this entry still uses. */
-    liveOf(holdingIds: readonly string[]): string[] {
-        return holdingIds.filter(id => this.live.has(id));
+    /** Returns those of `holdingIds` that this entry still uses. */
+    filterLive(holdingIds: readonly string[]): string[] {
+        return holdingIds.filter(id => this.liveIds.has(id));
     }
 
     get count(): number {
-        return this.live.size;
+        return this.liveIds.size;
     }
 
-    /** Ends a holding on an engine in the background. What several tries can't end is reclaimed later. */
+    /** Releases a holding on an engine, with retries. If all retries fail, the holding is reclaimed later. */
     async release(address: string, holdingId: string): Promise<void> {
-        this.live.delete(holdingId);
-        for (let attempt = 0; attempt < releaseTries; attempt++) {
+        this.liveIds.delete(holdingId);
+        for (let attempt = 0; attempt < maximumReleaseAttempts; attempt++) {
             try {
-                await this.parts.engines.release(address, holdingId);
+                await this.dependencies.engines.release(address, holdingId);
                 return;
             }
             catch {
-                await this.parts.clock.sleep(fullJitter(this.parts.random, releaseRetryMilliseconds, attempt, 2_000));
+                await this.dependencies.clock.sleep(
+                    fullJitter(this.dependencies.random, releaseRetryDelayMilliseconds, attempt, 2_000),
+                );
             }
         }
     }
 
-    /** Looks after the engines that fall to this entry until `signal` aborts. */
+    /** Reclaims the holdings of the engines that are assigned to this entry, until `signal` aborts. */
     async reclaim(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            const entries = this.parts.membership.answeringEntries();
-            for (const endpoint of this.parts.table.all()) {
-                const mine = rendezvous(endpoint.id, entries) === this.parts.self.instance;
-                if (mine && endpoint.record.role === InstanceRole.Engine && !signal.aborted) {
+            const entries = this.dependencies.membership.answeringEntries();
+            for (const endpoint of this.dependencies.table.all()) {
+                const isResponsible = rendezvous(endpoint.id, entries) === this.dependencies.self.instance;
+                if (isResponsible && endpoint.record.role === InstanceRole.Engine && !signal.aborted) {
                     await this.reclaimFrom(endpoint);
                 }
             }
-            await this.parts.clock.sleep(reclaimMilliseconds, signal);
+            await this.dependencies.clock.sleep(reclaimIntervalMilliseconds, signal);
         }
     }
 
     private async reclaimFrom(endpoint: Endpoint): Promise<void> {
         try {
-            const holdings = await this.parts.engines.holdings(endpoint.record.address);
-            const unclaimed = await this.unclaimed(holdings);
-            await this.releaseAfterGrace(endpoint, holdings, unclaimed);
+            const holdings = await this.dependencies.engines.holdings(endpoint.record.address);
+            const unclaimedIds = await this.findUnclaimed(holdings);
+            await this.releaseAfterGrace(endpoint, holdings, unclaimedIds);
         }
         catch (error) {
-            this.parts.log.warn("What an engine holds can't be read.", {
+            this.dependencies.log.warn("An engine's holdings can't be reclaimed.", {
                 endpoint: endpoint.id,
                 reason: describeError(error),
             });
         }
     }
 
-    private async unclaimed(holdings: readonly EngineHolding[]): Promise<Set<string>> {
-        const byOwner = new Map<string, EngineHolding[]>();
+    private async findUnclaimed(holdings: readonly EngineHolding[]): Promise<Set<string>> {
+        const holdingsByOwner = new Map<string, EngineHolding[]>();
         for (const holding of holdings) {
             const owner = `${holding.owner}/${holding.ownerIncarnation}`;
-            byOwner.set(owner, [...byOwner.get(owner) ?? [], holding]);
+            holdingsByOwner.set(owner, [...holdingsByOwner.get(owner) ?? [], holding]);
         }
-        const unclaimed = new Set<string>();
-        for (const owned of byOwner.values()) {
-            for (const id of await this.unclaimedOf(owned)) {
-                unclaimed.add(id);
+        const unclaimedIds = new Set<string>();
+        for (const ownerHoldings of holdingsByOwner.values()) {
+            for (const id of await this.findUnclaimedOfOwner(ownerHoldings)) {
+                unclaimedIds.add(id);
             }
         }
-        return unclaimed;
+        return unclaimedIds;
     }
 
-    private async unclaimedOf(owned: readonly EngineHolding[]): Promise<string[]> {
-        const { owner, ownerIncarnation } = owned[0]!;
-        const ids = owned.map(holding => holding.id);
-        if (owner === this.parts.self.instance) {
-            const live = ownerIncarnation === this.parts.self.incarnation ? this.liveOf(ids) : [];
-            return ids.filter(id => !live.includes(id));
+    private async findUnclaimedOfOwner(ownerHoldings: readonly EngineHolding[]): Promise<string[]> {
+        const { owner, ownerIncarnation } = ownerHoldings[0]!;
+        const ids = ownerHoldings.map(holding => holding.id);
+        if (owner === this.dependencies.self.instance) {
+            const liveIds = ownerIncarnation === this.dependencies.self.incarnation ? this.filterLive(ids) : [];
+            return ids.filter(id => !liveIds.includes(id));
         }
-        const peer = this.parts.membership.peer(owner);
+        const peer = this.dependencies.membership.peer(owner);
         if (!peer || (peer.record.incarnation !== "" && peer.record.incarnation !== ownerIncarnation)) {
             return ids;
         }
         try {
-            const answer = await this.parts.peers.liveHoldings(peer.record.address, ids);
-            const live = answer.incarnation === ownerIncarnation ? answer.live : [];
-            return ids.filter(id => !live.includes(id));
+            const response = await this.dependencies.peers.liveHoldings(peer.record.address, ids);
+            const liveIds = response.incarnation === ownerIncarnation ? response.live : [];
+            return ids.filter(id => !liveIds.includes(id));
         }
         catch (error) {
             if (error instanceof PeerLostError) {
@@ -155,23 +160,23 @@
     private async releaseAfterGrace(
         endpoint: Endpoint,
         holdings: readonly EngineHolding[],
-        unclaimed: ReadonlySet<string>,
+        unclaimedIds: ReadonlySet<string>,
     ): Promise<void> {
-        const now = this.parts.clock.now();
+        const now = this.dependencies.clock.now();
         for (const holding of holdings) {
             const key = `${endpoint.id}/${holding.id}`;
-            if (!unclaimed.has(holding.id)) {
-                this.unclaimedSince.delete(key);
+            if (!unclaimedIds.has(holding.id)) {
+                this.unclaimedSinceByHolding.delete(key);
                 continue;
             }
-            const since = this.unclaimedSince.get(key) ?? now;
-            this.unclaimedSince.set(key, since);
-            if (now - since < unclaimedGraceMilliseconds) {
+            const unclaimedSince = this.unclaimedSinceByHolding.get(key) ?? now;
+            this.unclaimedSinceByHolding.set(key, unclaimedSince);
+            if (now - unclaimedSince < unclaimedGracePeriodMilliseconds) {
                 continue;
             }
-            this.unclaimedSince.delete(key);
-            await this.parts.engines.release(endpoint.record.address, holding.id);
-            this.parts.timeline.record("holdings", "reclaimed", undefined, `${holding.id} on ${endpoint.id}`);
+            this.unclaimedSinceByHolding.delete(key);
+            await this.dependencies.engines.release(endpoint.record.address, holding.id);
+            this.dependencies.timeline.record("holdings", "reclaimed", undefined, `${holding.id} on ${endpoint.id}`);
         }
     }
 }
--- a/src/core/retryBudget.ts
+++ b/src/core/retryBudget.ts
@@ -1,42 +1,49 @@
-/** Bounds retries to a share of first attempts. */
+/**
+ * Limits retries to a share of first attempts. The token bucket keeps retries from overloading the remaining endpoints when
+ * many endpoints fail at once.
+ */
 import { Clock, Milliseconds } from "../internal.js";
 
-const reserveRetries = 20;
-const reserveRefillPerSecond = 2;
+/** Capacity of the token bucket, and its initial content. */
+const maximumRetryTokens = 20;
+const retryTokensPerSecond = 2;
 
 /**
  * Allows retries as a share of first attempts, with a small reserve that refills slowly.
  *
- * When many endpoints fail together each failure asks for a retry, and the retries alone can overload what is left:
- * one would notice attempts growing while answers fall. The budget caps them however many fail.
+ * When many endpoints fail together, each failure causes a retry, and the retries alone can overload the remaining
+ * endpoints: attempts increase while responses decrease. The budget bounds the retries whatever the number of failures.
  */
 export class RetryBudget {
-    private tokens = reserveRetries;
+    private retryTokens = maximumRetryTokens;
     private refilledAt: Milliseconds;
 
     constructor(private readonly clock: Clock) {
         this.refilledAt = clock.now();
     }
 
-    /** Notes a first attempt, which earns `share` of a retry. */
-    firstAttempt(share: number): void {
+    /** Records a first attempt, which adds `share` of a retry to the budget. */
+    recordFirstAttempt(share: number): void {
         this.refill();
-        this.tokens = Math.min(reserveRetries, this.tokens + share);
+        this.retryTokens = Math.min(maximumRetryTokens, this.retryTokens + share);
     }
 
-    /** Takes one retry; false when the budget is spent. */
-    takeRetry(): boolean {
+    /** Takes one retry from the budget; returns false if the budget is exhausted. */
+    tryTakeRetry(): boolean {
         this.refill();
-        if (this.tokens < 1) {
+        if (this.retryTokens < 1) {
             return false;
         }
-        this.tokens -= 1;
+        this.retryTokens -= 1;
         return true;
     }
 
     private refill(): void {
         const now = this.clock.now();
-        this.tokens = Math.min(reserveRetries, this.tokens + (now - this.refilledAt) / 1_000 * reserveRefillPerSecond);
+        this.retryTokens = Math.min(
+            maximumRetryTokens,
+            this.retryTokens + (now - this.refilledAt) / 1_000 * retryTokensPerSecond,
+        );
         this.refilledAt = now;
     }
 }
--- a/src/core/routing.ts
+++ b/src/core/routing.ts
@@ -1,34 +1,37 @@
-/** Chooses among endpoints that have room, by the profile's policy. */
+/**
+ * Routing policies: round robin, least loaded, and shortest queue with long prompts kept apart from short ones. A policy
+ * chooses among the endpoints that have capacity for a request, from their reports and the attempts in flight.
+ */
 import { match } from "ts-pattern";
 import { Endpoint, Lane, Random, RoutingPolicy, Work } from "../internal.js";
 
-/** Scores are spread by this share, so that entries with the same stale reports don't all choose the same endpoint. */
-const scoreSpread = 0.2;
+/** Relative jitter of scores; without it, entries with the same stale reports would all choose the same endpoint. */
+const scoreJitter = 0.2;
 
-/** Whether an endpoint that is warm can take a request now, as far as this entry can tell. */
-export const hasRoom = (endpoint: Endpoint, work: Work, suspect: boolean): boolean => {
+/** Whether an endpoint has capacity for a request, from its last report and this entry's attempts in flight. */
+export const hasCapacity = (endpoint: Endpoint, work: Work, isSuspect: boolean): boolean => {
     if (endpoint.inFlight.size >= work.profile.warmConcurrency) {
         return false;
     }
     if (work.memoryTokens > 0 && endpoint.freeMemoryTokens() < work.memoryTokens) {
         return false;
     }
-    if (suspect && runsSuspect(endpoint)) {
+    if (isSuspect && runsSuspect(endpoint)) {
         return false;
     }
-    return work.profile.policy !== RoutingPolicy.ShortFirst || hasLongRoom(endpoint, work);
+    return work.profile.policy !== RoutingPolicy.ShortFirst || hasLongPromptCapacity(endpoint, work);
 };
 
 const runsSuspect = (endpoint: Endpoint): boolean => {
     for (const attempt of endpoint.inFlight.values()) {
-        if (attempt.suspect) {
+        if (attempt.isSuspect) {
             return true;
         }
     }
     return false;
 };
 
-const hasLongRoom = (endpoint: Endpoint, work: Work): boolean => {
+const hasLongPromptCapacity = (endpoint: Endpoint, work: Work): boolean => {
     if (work.lane === Lane.Short) {
         return true;
     }
@@ -36,61 +39,67 @@
     return tokens === 0 || tokens + work.promptTokens <= work.profile.longTokensInFlight;
 };
 
-const load = (endpoint: Endpoint): number => Math.max(endpoint.inFlight.size, endpoint.report?.running ?? 0);
+const activeRequestCount = (endpoint: Endpoint): number =>
+    Math.max(endpoint.inFlight.size, endpoint.report?.running ?? 0);
 
 const prefillMilliseconds = (endpoint: Endpoint, tokens: number): number =>
     tokens / Math.max(1, endpoint.report?.prefillTokensPerSecond ?? 1) * 1_000;
 
-const shortScore = (endpoint: Endpoint): number =>
+const shortPromptScore = (endpoint: Endpoint): number =>
     prefillMilliseconds(endpoint, endpoint.waitingPromptTokens())
-    + load(endpoint) * (endpoint.report?.decodeStepMilliseconds ?? 1);
+    + activeRequestCount(endpoint) * (endpoint.report?.decodeStepMilliseconds ?? 1);
 
-const longScore = (endpoint: Endpoint): number => {
-    // Long prompts gather where long prompts are, so that most endpoints stay free of them.
-    const gathers = endpoint.longTokensInFlight() > 0 ? 0.5 : 1;
-    return gathers * prefillMilliseconds(endpoint, endpoint.waitingPromptTokens());
+const longPromptScore = (endpoint: Endpoint): number => {
+    // Long prompts are concentrated on endpoints that already run some, so that most endpoints stay free for short prompts.
+    const concentrationFactor = endpoint.longTokensInFlight() > 0 ? 0.5 : 1;
+    return concentrationFactor * prefillMilliseconds(endpoint, endpoint.waitingPromptTokens());
 };
 
-const lowest = (
+const selectLowestScore = (
     endpoints: readonly Endpoint[],
     random: Random,
     score: (endpoint: Endpoint) => number,
 ): Endpoint | undefined => {
-    let best: Endpoint | undefined;
+    let bestEndpoint: Endpoint | undefined;
     let bestScore = Infinity;
     for (const endpoint of endpoints) {
-        const spread = (score(endpoint) + 1) * (1 + random.next() * scoreSpread);
-        if (spread < bestScore) {
-            best = endpoint;
-            bestScore = spread;
+        const jitteredScore = (score(endpoint) + 1) * (1 + random.next() * scoreJitter);
+        if (jitteredScore < bestScore) {
+            bestEndpoint = endpoint;
+            bestScore = jitteredScore;
         }
     }
-    return best;
+    return bestEndpoint;
 };
 
-/** The routing policies of one entry; the round robin remembers its turn. */
+/** Applies the profile's routing policy; keeps the position of the round robin. */
 export class Router {
-    private turn = 0;
+    private nextRoundRobinIndex = 0;
 
     constructor(private readonly random: Random) {}
 
-    /** One of `endpoints`, which all have room; undefined when there is none. */
+    /** Chooses one of `endpoints`, which all have capacity; undefined if the list is empty. */
     choose(work: Work, endpoints: readonly Endpoint[]): Endpoint | undefined {
         return match(work.profile.policy)
-            .with(RoutingPolicy.RoundRobin, () => endpoints[this.turn++ % Math.max(1, endpoints.length)])
-            .with(RoutingPolicy.LeastLoaded, () => lowest(endpoints, this.random, load))
+            .with(RoutingPolicy.RoundRobin, () => endpoints[this.nextRoundRobinIndex++ % Math.max(1, endpoints.length)])
+            .with(RoutingPolicy.LeastLoaded, () => selectLowestScore(endpoints, this.random, activeRequestCount))
             .with(
                 RoutingPolicy.ShortFirst,
-                () => lowest(endpoints, this.random, work.lane === Lane.Short ? shortScore : longScore),
+                () =>
+                    selectLowestScore(
+                        endpoints,
+                        this.random,
+                        work.lane === Lane.Short ? shortPromptScore : longPromptScore,
+                    ),
             )
             .exhaustive();
     }
 }
 
-/** Milliseconds until the first token on an endpoint, predicted from its report. */
-export const predictFirstToken = (endpoint: Endpoint, work: Work): number => {
-    const ahead = work.lane === Lane.Short && work.profile.policy === RoutingPolicy.ShortFirst
+/** Predicts the time to first token on an endpoint in milliseconds, from the prompt tokens that wait there. */
+export const predictTimeToFirstToken = (endpoint: Endpoint, work: Work): number => {
+    const tokensAhead = work.lane === Lane.Short && work.profile.policy === RoutingPolicy.ShortFirst
         ? Math.min(endpoint.waitingPromptTokens(), work.profile.shortPromptTokens)
         : endpoint.waitingPromptTokens();
-    return prefillMilliseconds(endpoint, ahead + work.promptTokens);
+    return prefillMilliseconds(endpoint, tokensAhead + work.promptTokens);
 };
--- a/src/core/serviceCall.ts
+++ b/src/core/serviceCall.ts
@@ -1,4 +1,7 @@
-/** Calls of plain services: placed, sent as often as is safe, and claimed where they must not be repeated. */
+/**
+ * Runs calls to plain services: places them on a replica and retries them while a retry is safe. A non-idempotent call with
+ * an idempotency key is claimed first, so that it runs at most once over all entries.
+ */
 import {
     Claims,
     Clock,
@@ -9,8 +12,8 @@
     fingerprint,
     HeldClaim,
     Placement,
-    Placer,
     RequestFailure,
+    RequestScheduler,
     RetryBudget,
     ServiceLostError,
     ServicePort,
@@ -23,112 +26,123 @@
     Work,
 } from "../internal.js";
 
-const lossesAtMost = 5;
-const notRunPauseMilliseconds = 20;
+/** The call fails after this many lost attempts. */
+const maximumLosses = 5;
+/** Delay before the next attempt after an attempt that wasn't run. */
+const notRunRetryDelayMilliseconds = 20;
 
-/** A call as a caller made it. */
+/** A call requested by a caller. */
 export interface ServiceCall {
     work: Work;
     request: ServiceRequest;
-    /** Whether the profile says that the call must not be repeated. */
+    /** Whether the profile lists the call's route as non-idempotent. */
     nonIdempotent: boolean;
 }
 
-/** The answer, and whether it is the kept answer of an earlier call. */
-export interface ServiceCallAnswer {
-    answer: ServiceResponse;
+/** The response, and whether it was stored by an earlier call with the same idempotency key. */
+export interface ServiceCallResult {
+    response: ServiceResponse;
     replayed: boolean;
 }
 
-/** What service calls work with. */
-export interface ServiceCallParts {
+/** Dependencies of {@link ServiceCalls}. */
+export interface ServiceCallDependencies {
     clock: Clock;
     services: ServicePort;
-    placer: Placer;
+    scheduler: RequestScheduler;
     claims: Claims;
     retries: RetryBudget;
     table: EndpointTable;
     timeline: Timeline;
 }
 
-/** How one send ended. */
+/** How one attempt ended. */
 type SendOutcome =
-    | { type: "Answered"; answer: ServiceResponse; }
+    | { type: "Answered"; response: ServiceResponse; }
     | { type: "NotRun"; reason: string; }
     | { type: "Lost"; reason: string; };
 
-/** Runs calls of plain services. */
+/** Runs calls to plain services. */
 export class ServiceCalls {
-    constructor(private readonly parts: ServiceCallParts) {}
+    constructor(private readonly dependencies: ServiceCallDependencies) {}
 
-    /** Resolves with the service's own answer. Throws {@link RequestFailure}. */
-    async run(call: ServiceCall): Promise<ServiceCallAnswer> {
-        const key = call.request.idempotencyKey;
-        if (!call.nonIdempotent || key === undefined) {
-            return { answer: await this.send(call, () => true), replayed: false };
+    /** Resolves with the service's own response. Throws {@link RequestFailure}. */
+    async run(call: ServiceCall): Promise<ServiceCallResult> {
+        const idempotencyKey = call.request.idempotencyKey;
+        if (!call.nonIdempotent || idempotencyKey === undefined) {
+            return { response: await this.sendWithRetries(call, () => true), replayed: false };
         }
         const { method, path, body } = call.request;
         const bodyFingerprint = fingerprint(call.work.service, method, path, body);
-        const claimed = await this.parts.claims.claim(call.work.customer, key, bodyFingerprint, call.work.deadline);
-        if (claimed.type === "Answered") {
-            return { answer: claimed.answer, replayed: true };
+        const claimOutcome = await this.dependencies.claims.claim(
+            call.work.customer,
+            idempotencyKey,
+            bodyFingerprint,
+            call.work.deadline,
+        );
+        if (claimOutcome.type === "Answered") {
+            return { response: claimOutcome.answer, replayed: true };
         }
-        return { answer: await this.runClaimed(call, claimed.claim), replayed: false };
+        return { response: await this.runClaimed(call, claimOutcome.claim), replayed: false };
     }
 
     private async runClaimed(call: ServiceCall, claim: HeldClaim): Promise<ServiceResponse> {
         try {
-            const answer = await this.send(call, () => this.parts.claims.maySend(claim));
-            await this.parts.claims.keep(claim, answer);
-            return answer;
+            const response = await this.sendWithRetries(call, () => this.dependencies.claims.maySend(claim));
+            await this.dependencies.claims.keep(claim, response);
+            return response;
         }
         catch (error) {
             if (error instanceof RequestFailure && error.execution === Execution.NotRun) {
-                await this.parts.claims.giveUp(claim);
+                await this.dependencies.claims.giveUp(claim);
             }
             else {
-                await this.parts.claims.keep(claim, undefined);
+                await this.dependencies.claims.keep(claim, undefined);
             }
             throw error;
         }
     }
 
-    private async send(call: ServiceCall, mayStillSend: () => boolean): Promise<ServiceResponse> {
+    private async sendWithRetries(call: ServiceCall, mayStillSend: () => boolean): Promise<ServiceResponse> {
         const { work } = call;
-        const avoid = new Set<string>();
-        let ran = false;
-        this.parts.retries.firstAttempt(work.profile.retryShare);
-        for (let losses = 0; losses < lossesAtMost;) {
-            const placement = await this.place(work, avoid, ran);
+        const avoidedEndpoints = new Set<string>();
+        let mayHaveRun = false;
+        this.dependencies.retries.recordFirstAttempt(work.profile.retryShare);
+        for (let lossCount = 0; lossCount < maximumLosses;) {
+            const placement = await this.placeAttempt(work, avoidedEndpoints, mayHaveRun);
             const outcome = await this.sendOnce(call, placement, mayStillSend);
             placement.release();
-            this.parts.timeline.record("service", outcome.type, work.requestId, placement.endpoint.id);
+            this.dependencies.timeline.record("service", outcome.type, work.requestId, placement.endpoint.id);
             if (outcome.type === "Answered") {
-                return outcome.answer;
+                return outcome.response;
             }
-            avoid.add(placement.endpoint.id);
+            avoidedEndpoints.add(placement.endpoint.id);
             if (outcome.type === "NotRun") {
-                // A refusal must not spin; placing refuses once the deadline has passed.
-                await this.parts.clock.sleep(work.deadline.bounded(notRunPauseMilliseconds), work.signal);
+                // The delay prevents a busy loop on refusals; the scheduler rejects the call once its deadline has expired.
+                await this.dependencies.clock.sleep(work.deadline.bounded(notRunRetryDelayMilliseconds), work.signal);
                 continue;
             }
-            losses++;
+            lossCount++;
             if (outcome.type === "Lost") {
-                ran = true;
-                this.parts.table.suspect(placement.endpoint, outcome.reason);
+                mayHaveRun = true;
+                this.dependencies.table.suspect(placement.endpoint, outcome.reason);
                 this.checkRepeatable(work, outcome.reason);
             }
         }
-        const execution = ran ? Execution.Ran : Execution.NotRun;
-        throw new RequestFailure(FailureKind.RetriesExhausted, execution, "every attempt failed", 2);
+        const execution = mayHaveRun ? Execution.Ran : Execution.NotRun;
+        throw new RequestFailure(FailureKind.RetriesExhausted, execution, "all attempts failed", 2);
     }
 
-    private async place(work: Work, avoid: ReadonlySet<string>, ran: boolean): Promise<Placement> {
+    private async placeAttempt(
+        work: Work,
+        avoidedEndpoints: ReadonlySet<string>,
+        mayHaveRun: boolean,
+    ): Promise<Placement> {
         try {
-            return await this.parts.placer.place(work, avoid);
+            return await this.dependencies.scheduler.place(work, avoidedEndpoints);
         }
         catch (error) {
-            if (error instanceof RequestFailure && ran) {
+            if (error instanceof RequestFailure && mayHaveRun) {
                 throw new RequestFailure(error.kind, Execution.Unknown, error.message, error.retryAfterSeconds);
             }
             throw error;
@@ -137,41 +151,41 @@
 
     private checkRepeatable(work: Work, reason: string): void {
         if (!work.idempotent) {
-            const detail = `the call was sent and its answer was lost: ${reason}`;
+            const detail = `the call was sent and its response was lost: ${reason}`;
             throw new RequestFailure(FailureKind.OutcomeUnknown, Execution.Unknown, detail);
         }
         if (work.deadline.expired) {
-            throw new RequestFailure(FailureKind.DeadlineExceeded, Execution.Unknown, "the deadline passed", 1);
+            throw new RequestFailure(FailureKind.DeadlineExceeded, Execution.Unknown, "the deadline has expired", 1);
         }
-        if (!this.parts.retries.takeRetry()) {
-            const detail = "the call failed and the budget for retries is spent";
+        if (!this.dependencies.retries.tryTakeRetry()) {
+            const detail = "the call failed and the retry budget is exhausted";
             throw new RequestFailure(FailureKind.RetriesExhausted, Execution.Unknown, detail, 2);
         }
     }
 
     private async sendOnce(call: ServiceCall, placement: Placement, mayStillSend: () => boolean): Promise<SendOutcome> {
         const { work } = call;
-        // From this check to the send there is no await: a process paused before it must not send on waking.
-        if (!mayStillSend() || !placement.sendAllowed() || work.deadline.expired) {
-            return { type: "NotRun", reason: "it was too late to send" };
+        // No await between this check and the send: a process that was paused in between could send after its claim expired.
+        if (!mayStillSend() || !placement.maySend() || work.deadline.expired) {
+            return { type: "NotRun", reason: "the claim, the placement or the deadline no longer allowed the send" };
         }
         const address = placement.endpoint.record.address;
         try {
-            const answer = await withTimeout(
-                this.parts.clock,
+            const response = await withTimeout(
+                this.dependencies.clock,
                 work.deadline.remaining(),
-                "the service's answer",
-                signal => this.parts.services.call(address, call.request, signal),
+                "the service's response",
+                signal => this.dependencies.services.call(address, call.request, signal),
                 work.idempotent ? work.signal : undefined,
             );
-            return { type: "Answered", answer };
+            return { type: "Answered", response };
         }
         catch (error) {
-            return this.failureOf(error);
+            return this.classifyFailure(error);
         }
     }
 
-    private failureOf(error: unknown): SendOutcome {
+    private classifyFailure(error: unknown): SendOutcome {
         const notWritten = error instanceof ServiceLostError && !error.written;
         if (notWritten || error instanceof ServiceRefusedError) {
             return { type: "NotRun", reason: describeError(error) };
--- a/src/core/suspects.ts
+++ b/src/core/suspects.ts
@@ -1,17 +1,20 @@
-/** Requests that may crash the endpoints that run them. */
+/**
+ * Tracks requests that may crash the endpoints that run them. Entries exchange these suspects by heartbeat, so that every
+ * entry rejects a request after it has crashed two endpoints.
+ */
 import { Clock, Milliseconds } from "../internal.js";
 
-/** Crashes after which a request is refused. */
-export const crashesToRefuse = 2;
+/** Number of unresolved crashes from which a request is rejected. */
+export const crashesUntilRejection = 2;
 const suspectLifetimeMilliseconds = 15 * 60_000;
-const sharedSuspects = 64;
+const maximumPublishedSuspects = 64;
 
-/** What entries tell one another of a suspect. */
+/** The state of a suspect as entries exchange it. */
 export interface SuspectUpdate {
     fingerprint: string;
-    /** Endpoint incarnations that died with this request on them. */
+    /** Endpoint incarnations that crashed while they ran this request. */
     crashed: string[];
-    /** Those of them that it was cleared of by running to its end. */
+    /** The crashes of which the request was cleared by running to completion afterwards. */
     pardoned: string[];
     remainingMilliseconds: Milliseconds;
 }
@@ -22,7 +25,7 @@
     expiresAt: Milliseconds;
 }
 
-const openCrashes = (suspect: Suspect): number => {
+const countUnresolvedCrashes = (suspect: Suspect): number => {
     let count = 0;
     for (const incarnation of suspect.crashed) {
         count += suspect.pardoned.has(incarnation) ? 0 : 1;
@@ -31,73 +34,72 @@
 };
 
 /**
- * Counts the crashes that each request was present at.
+ * Counts the endpoint crashes during which each request was running.
  *
- * One request that crashes engines is sent again by its caller, through any entry, and takes one engine after the
- * other down. One would notice engines dying in turn with the same request on each. A suspect runs again only where
- * no other suspect runs, so that the second crash has one cause; after that it is refused on every entry. Both sets
- * only grow, so entries may exchange them in any order and agree.
+ * A request that crashes engines is retried by its caller, through any entry, and takes down one engine after another. A
+ * suspect runs again only on an endpoint that runs no other suspect, so that a second crash has one cause; after that
+ * crash every entry rejects it. Both sets of a suspect only grow, so entries that merge them in any order converge.
  */
 export class Suspects {
-    private readonly suspects = new Map<string, Suspect>();
+    private readonly suspectByFingerprint = new Map<string, Suspect>();
 
     constructor(private readonly clock: Clock) {}
 
-    /** Crashes that this request was present at and has not been cleared of. */
-    crashes(fingerprint: string): number {
-        const suspect = this.suspects.get(fingerprint);
+    /** Number of crashes during which the request was running and of which it hasn't been cleared. */
+    unresolvedCrashCount(fingerprint: string): number {
+        const suspect = this.suspectByFingerprint.get(fingerprint);
         if (!suspect) {
             return 0;
         }
         if (suspect.expiresAt <= this.clock.now()) {
-            this.suspects.delete(fingerprint);
+            this.suspectByFingerprint.delete(fingerprint);
             return 0;
         }
-        return openCrashes(suspect);
+        return countUnresolvedCrashes(suspect);
     }
 
     isSuspect(fingerprint: string): boolean {
-        return this.crashes(fingerprint) > 0;
+        return this.unresolvedCrashCount(fingerprint) > 0;
     }
 
-    isRefused(fingerprint: string): boolean {
-        return this.crashes(fingerprint) >= crashesToRefuse;
+    isRejected(fingerprint: string): boolean {
+        return this.unresolvedCrashCount(fingerprint) >= crashesUntilRejection;
     }
 
-    /** Seconds until a refused request may be tried again. */
+    /** Seconds until a rejected request may be retried. */
     retryAfterSeconds(fingerprint: string): number {
-        const suspect = this.suspects.get(fingerprint);
+        const suspect = this.suspectByFingerprint.get(fingerprint);
         return suspect ? Math.ceil((suspect.expiresAt - this.clock.now()) / 1_000) : 0;
     }
 
-    /** Notes that the endpoint's `incarnation` died with this request on it. */
-    crashed(fingerprint: string, incarnation: string): void {
-        const suspect = this.suspects.get(fingerprint)
+    /** Records that the endpoint process `incarnation` crashed while it ran this request. */
+    recordCrash(fingerprint: string, incarnation: string): void {
+        const suspect = this.suspectByFingerprint.get(fingerprint)
             ?? { crashed: new Set(), pardoned: new Set(), expiresAt: 0 };
         suspect.crashed.add(incarnation);
         suspect.expiresAt = this.clock.now() + suspectLifetimeMilliseconds;
-        this.suspects.set(fingerprint, suspect);
+        this.suspectByFingerprint.set(fingerprint, suspect);
     }
 
-    /** A suspect that ran to its end was innocent of the crashes so far. */
-    clear(fingerprint: string): void {
-        const suspect = this.suspects.get(fingerprint);
-        if (!suspect || openCrashes(suspect) >= crashesToRefuse) {
+    /** Clears a suspect that ran to completion of its crashes so far, unless it is already rejected. */
+    recordCompletion(fingerprint: string): void {
+        const suspect = this.suspectByFingerprint.get(fingerprint);
+        if (!suspect || countUnresolvedCrashes(suspect) >= crashesUntilRejection) {
             return;
         }
         suspect.pardoned = new Set(suspect.crashed);
     }
 
-    /** The newest suspects, for peers. */
-    news(): SuspectUpdate[] {
+    /** The most recent suspects that haven't expired, to publish to peers. */
+    updates(): SuspectUpdate[] {
         const now = this.clock.now();
-        const news: SuspectUpdate[] = [];
-        for (const [fingerprint, suspect] of [...this.suspects].reverse()) {
-            if (news.length >= sharedSuspects) {
+        const updates: SuspectUpdate[] = [];
+        for (const [fingerprint, suspect] of [...this.suspectByFingerprint].reverse()) {
+            if (updates.length >= maximumPublishedSuspects) {
                 break;
             }
             if (suspect.expiresAt > now) {
-                news.push({
+                updates.push({
                     fingerprint,
                     crashed: [...suspect.crashed],
                     pardoned: [...suspect.pardoned],
@@ -105,15 +107,15 @@
                 });
             }
         }
-        return news;
+        return updates;
     }
 
-    /** Takes what a peer knows. */
-    takeNews(news: readonly SuspectUpdate[]): void {
+    /** Merges a peer's suspects. */
+    merge(updates: readonly SuspectUpdate[]): void {
         const now = this.clock.now();
-        for (const { fingerprint, crashed, pardoned, remainingMilliseconds } of news) {
-            const suspect = this.suspects.get(fingerprint);
-            this.suspects.set(fingerprint, {
+        for (const { fingerprint, crashed, pardoned, remainingMilliseconds } of updates) {
+            const suspect = this.suspectByFingerprint.get(fingerprint);
+            this.suspectByFingerprint.set(fingerprint, {
                 crashed: new Set([...suspect?.crashed ?? [], ...crashed]),
                 pardoned: new Set([...suspect?.pardoned ?? [], ...pardoned]),
                 expiresAt: Math.max(suspect?.expiresAt ?? 0, now + remainingMilliseconds),
--- a/src/internal.ts
+++ b/src/internal.ts
@@ -32,7 +32,7 @@
 export * from "./core/work.js";
 export * from "./core/routing.js";
 export * from "./core/fairQueue.js";
-export * from "./core/placement.js";
+export * from "./core/requestScheduler.js";
 export * from "./core/holdings.js";
 export * from "./core/gangs.js";
 export * from "./core/generation.js";
--- a/src/ports/enginePort.ts
+++ b/src/ports/enginePort.ts
@@ -1,16 +1,16 @@
-/** What the core needs of a model engine. */
+/** The port through which the core calls model engines. */
 import { DandelionrampError, EndpointReport, EngineHolding, Milliseconds } from "../internal.js";
 
-/** Priorities that engines honour; a lower number goes first. */
+/** Request priorities on engines; engines schedule a lower number first. */
 export enum EnginePriority {
     Short = 0,
     Medium = 1,
     Long = 2,
 }
 
-/** One attempt at a generation on one engine, or led by one engine for its gang. */
+/** One attempt of a generation, on one engine or on a gang through its leader. */
 export interface EngineRequest {
-    /** Derived from request id and attempt: sending it twice starts it once. */
+    /** Derived from the request id and the attempt number, so that a repeated request doesn't start a second stream. */
     streamId: string;
     attempt: number;
     owner: string;
@@ -18,16 +18,16 @@
     prompt: string;
     promptTokens: number;
     maximumTokens: number;
-    /** Answer tokens the caller has already; generation goes on behind them. */
+    /** Number of output tokens that the caller already has; the generation continues after them. */
     startOffset: number;
     priority: EnginePriority;
-    /** Time left until the caller's deadline. */
+    /** Time left before the caller's deadline. */
     remainingMilliseconds: Milliseconds;
-    /** Engines that hold a share of the prompt by reservation, the leader included. */
+    /** The gang's reservation and its number of engines, including the leader; undefined for a single engine. */
     gang?: { reservationId: string; size: number; };
 }
 
-/** One piece of an answer. */
+/** A part of a response stream. */
 export type EngineFrame =
     | { type: "Tokens"; streamId: string; attempt: number; offset: number; count: number; text: string; }
     | { type: "End"; streamId: string; attempt: number; tokens: number; finishReason: FinishReason; };
@@ -38,7 +38,7 @@
     Length = "length",
 }
 
-/** Why an engine refused before running anything. */
+/** Why an engine refused a request before running it. */
 export enum EngineRefusal {
     Busy = "busy",
     Memory = "memory",
@@ -47,7 +47,7 @@
     Invalid = "invalid",
 }
 
-/** The engine answered that it runs nothing of this request. */
+/** The engine refused the request and runs no part of it. */
 export class EngineRefusedError extends DandelionrampError {
     constructor(readonly refusal: EngineRefusal, address: string) {
         super(`${address} refused: ${refusal}`);
@@ -56,19 +56,19 @@
 
 /** The connection to the engine failed. */
 export class EngineLostError extends DandelionrampError {
-    /** `written` is false only when no byte of the request left this process. */
+    /** `written` is false only if no byte of the request was sent. */
     constructor(message: string, readonly written: boolean, options?: ErrorOptions) {
         super(message, options);
     }
 }
 
-/** A model engine at an address. Calls but for streams end within a bound. */
+/** Calls to the model engine at an address. All calls except streams have a timeout. */
 export interface EnginePort {
     /** Throws {@link EngineLostError}. */
     report(address: string): Promise<EndpointReport>;
     /**
-     * Starts or rejoins a stream and resolves once the engine has accepted it. `opening` ends the wait for that,
-     * `signal` the stream itself. Throws {@link EngineRefusedError} or {@link EngineLostError}; the frames throw
+     * Starts or rejoins a stream and resolves once the engine has accepted it. `opening` aborts the wait for acceptance,
+     * `signal` the stream itself. Throws {@link EngineRefusedError} or {@link EngineLostError}; reading the frames throws
      * {@link EngineLostError} when the connection fails.
      */
     generate(
@@ -77,7 +77,7 @@
         opening: AbortSignal,
         signal: AbortSignal,
     ): Promise<AsyncIterable<EngineFrame>>;
-    /** Joins a running stream at `offset` over a new connection. Behaves as `generate` does. */
+    /** Resumes a running stream at `offset` over a new connection, with the signals and errors of `generate`. */
     resume(
         address: string,
         streamId: string,
@@ -85,9 +85,9 @@
         opening: AbortSignal,
         signal: AbortSignal,
     ): Promise<AsyncIterable<EngineFrame>>;
-    /** Ends a stream or a reservation and frees its memory; ending an unknown one succeeds. */
+    /** Ends a stream or a reservation and frees its memory; succeeds if the engine doesn't hold it. */
     release(address: string, holdingId: string): Promise<void>;
-    /** Sets memory aside. Repeating a reservation is harmless. Throws {@link EngineRefusedError}. */
+    /** Reserves memory; idempotent. Throws {@link EngineRefusedError}. */
     reserve(address: string, holding: EngineHolding): Promise<void>;
     holdings(address: string): Promise<EngineHolding[]>;
 }
--- a/src/ports/servicePort.ts
+++ b/src/ports/servicePort.ts
@@ -1,10 +1,10 @@
-/** What the core needs of a plain service. */
+/** The port through which the core calls plain services. */
 import { DandelionrampError, EndpointReport } from "../internal.js";
 
-/** A call to pass on. */
+/** A caller's request to forward. */
 export interface ServiceRequest {
     method: string;
-    /** Path and query below the service. */
+    /** Path and query, relative to the service. */
     path: string;
     contentType?: string;
     body: Buffer;
@@ -12,25 +12,25 @@
     idempotencyKey?: string;
 }
 
-/** The service's whole answer. */
+/** The service's complete response. */
 export interface ServiceResponse {
     status: number;
     contentType?: string;
     body: Buffer;
 }
 
-/** The call failed without a whole answer. */
+/** The connection failed before the response was complete. */
 export class ServiceLostError extends DandelionrampError {
-    /** `written` is false only when no byte of the request left this process. */
+    /** `written` is false only if no byte of the request was sent. */
     constructor(message: string, readonly written: boolean, options?: ErrorOptions) {
         super(message, options);
     }
 }
 
-/** The service itself refused before running the call. */
+/** The service refused the call before running it. */
 export class ServiceRefusedError extends DandelionrampError {}
 
-/** A plain service at an address. */
+/** Calls to the plain service at an address. */
 export interface ServicePort {
     report(address: string): Promise<EndpointReport>;
     /** Throws {@link ServiceLostError} or {@link ServiceRefusedError}. */
