--- a/__tests__/coldStart.test.ts
+++ b/__tests__/coldStart.test.ts
@@ -1,4 +1,7 @@
-/** An endpoint in cold start receives no more load than it can bear: here one request, as its profile says. */
+/**
+ * An endpoint in cold start receives no more load than its profile's `coldConcurrency`, which is one request here. All
+ * entries together must respect the limit, during pauses of its home and platform outages too.
+ */
 import { expect, test } from "vitest";
 import { play, Scene } from "./support/scenario.js";
 
@@ -8,8 +11,11 @@
     }
 };
 
-/** All engines are cold, as after a power cut, and every entry has callers at once. Each entry sends "a little". */
-const allCold = async (scene: Scene): Promise<void> => {
+/**
+ * All engines are cold, as after a power cut, and every entry has callers. Entries that each keep the limit on their own,
+ * without permits from a home, would overload an engine together.
+ */
+const startAllCold = async (scene: Scene): Promise<void> => {
     burst(scene, 30);
     await scene.pass(25_000);
     expect(scene.callers.requests.filter(request => request.end?.type === "Whole")).toHaveLength(30);
@@ -17,7 +23,7 @@
 
 test("several entries at cold engines", async () => {
     const plan = { shape: { coldConcurrency: 1, startWarm: false } };
-    expect(await play(plan, allCold)).toEqual([]);
+    expect(await play(plan, startAllCold)).toEqual([]);
     const scene = async (scene: Scene): Promise<void> => {
         burst(scene, 30);
         await scene.pass(25_000);
@@ -25,8 +31,8 @@
     expect((await play(plan, scene, "homes")).join()).toContain("was overloaded while cold");
 });
 
-/** Warm engines fall back into cold start one after the other without a word, while callers keep coming. */
-const unannounced = async (scene: Scene): Promise<void> => {
+/** Warm engines go back to cold start one after another, unannounced, while callers keep sending requests. */
+const fallColdUnannounced = async (scene: Scene): Promise<void> => {
     for (let round = 0; round < 20; round++) {
         for (let index = 0; index < 9; index++) {
             scene.callers.generate(scene.entry(index % 3), { tokens: 100, answerTokens: 60 });
@@ -41,24 +47,24 @@
 
 test("warm to cold unannounced", async () => {
     const plan = { shape: { coldConcurrency: 1, warmAfter: 12 } };
-    expect(await play(plan, unannounced)).toEqual([]);
-    expect((await play(plan, unannounced, "coldUnknown")).join()).toContain("was overloaded while cold");
+    expect(await play(plan, fallColdUnannounced)).toEqual([]);
+    expect((await play(plan, fallColdUnannounced, "coldUnknown")).join()).toContain("was overloaded while cold");
 });
 
 /**
- * The home of a cold engine is paused; another entry takes over and keeps the engine busy; the old home wakes with
- * requests in hand. Together they are too much.
+ * The home of a cold engine is paused, and another entry takes over and keeps the engine busy. When the old home resumes
+ * with queued requests, it must not send them by its expired lease: both homes' requests would overload the engine.
  */
-const homePaused = async (scene: Scene): Promise<void> => {
+const pauseHome = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    const home = world.entries.find(each => each.id === entry(0).node.homes.homeOf("engine-1"))!;
-    const others = world.entries.filter(each => each !== home);
+    const home = world.entries.find(candidate => candidate.id === entry(0).node.homes.homeOf("engine-1"))!;
+    const others = world.entries.filter(candidate => candidate !== home);
     world.freeze(home);
     for (let index = 0; index < 6; index++) {
         callers.generate(home, { tokens: 100, answerTokens: 100, timeout: 60_000 });
     }
     for (let round = 0; round < 10; round++) {
-        others.forEach(each => callers.generate(each, { tokens: 100, answerTokens: 100, timeout: 60_000 }));
+        others.forEach(candidate => callers.generate(candidate, { tokens: 100, answerTokens: 100, timeout: 60_000 }));
         await pass(1_200);
     }
     expect(world.engines[0]!.starts.length).toBeGreaterThan(0);
@@ -71,12 +77,12 @@
         engines: 1,
         shape: { coldConcurrency: 1, startWarm: false, warmAfter: 1_000, tokensPerStep: 2_000 },
     };
-    expect(await play(plan, homePaused)).toEqual([]);
-    expect((await play(plan, homePaused, "homeLease")).join()).toContain("was overloaded while cold");
+    expect(await play(plan, pauseHome)).toEqual([]);
+    expect((await play(plan, pauseHome, "homeLease")).join()).toContain("was overloaded while cold");
 });
 
-/** The platform is down for minutes. Warm service goes on, and engines that restart meanwhile are warmed again. */
-const outage = async (scene: Scene): Promise<void> => {
+/** The platform is down while two engines restart. Warm engines keep serving, and the restarted engines warm up again. */
+const platformOutage = async (scene: Scene): Promise<void> => {
     const { world, pass } = scene;
     world.platform.faults.down = true;
     await pass(8_000);
@@ -92,12 +98,12 @@
 };
 
 test("warming in a platform outage", async () => {
-    expect(await play({ shape: { coldConcurrency: 1 } }, outage)).toEqual([]);
+    expect(await play({ shape: { coldConcurrency: 1 } }, platformOutage)).toEqual([]);
 });
 
 test("all entries replaced", async () => {
-    // Every entry dies and new ones start while the engines are cold: a new home must wait for what the old ones sent.
-    const replaced = async (scene: Scene): Promise<void> => {
+    // All entries are replaced while the engines are cold: a new home must allow for the old homes' requests in flight.
+    const replaceAllEntries = async (scene: Scene): Promise<void> => {
         const { world, pass } = scene;
         burst(scene, 20);
         await pass(300);
@@ -110,23 +116,24 @@
         await pass(30_000);
         expect(scene.callers.requests.slice(20).every(request => request.end?.type === "Whole")).toBe(true);
     };
-    expect(await play({ shape: { coldConcurrency: 1, startWarm: false } }, replaced)).toEqual([]);
+    expect(await play({ shape: { coldConcurrency: 1, startWarm: false } }, replaceAllEntries)).toEqual([]);
 });
 
 /**
- * An engine dies and comes back cold while its home is paused. Two other entries ask the home for leave meanwhile; it
- * wakes with a report from before, in which the engine is warm, and finds both questions in its buffers.
+ * An engine crashes and restarts cold while its home is paused, and two other entries request permits from the home
+ * meanwhile. The home resumes with both requests buffered and a stale report of a warm engine; granting both requests
+ * would overload the engine.
  */
-const homeWakesWithOldReport = async (scene: Scene): Promise<void> => {
+const resumeHomeWithStaleReport = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    const home = world.entries.find(each => each.id === entry(0).node.homes.homeOf("engine-1"))!;
-    const others = world.entries.filter(each => each !== home);
+    const home = world.entries.find(candidate => candidate.id === entry(0).node.homes.homeOf("engine-1"))!;
+    const others = world.entries.filter(candidate => candidate !== home);
     await pass(100);
     world.freeze(home);
     void world.engines[0]!.model.crash();
     await pass(1_700);
     for (let index = 0; index < 4; index++) {
-        others.forEach(each => callers.generate(each, { tokens: 100, answerTokens: 60 }));
+        others.forEach(candidate => callers.generate(candidate, { tokens: 100, answerTokens: 60 }));
         await pass(100);
     }
     world.thaw(home);
@@ -136,14 +143,14 @@
 
 test("home wakes with an old report", async () => {
     const plan = { engines: 1, shape: { coldConcurrency: 1, restartMilliseconds: 200 } };
-    expect(await play(plan, homeWakesWithOldReport)).toEqual([]);
+    expect(await play(plan, resumeHomeWithStaleReport)).toEqual([]);
 });
 
 /**
- * The platform is restored from a copy that is older than the home table. If its entries went on waiting for the table
- * they knew, no endpoint would ever be warmed again.
+ * The platform is restored from a backup that is older than the home table. If the entries kept waiting for the version
+ * of the table that they knew, no endpoint would ever warm up again.
  */
-const tableLost = async (scene: Scene): Promise<void> => {
+const loseHomeTable = async (scene: Scene): Promise<void> => {
     const { world, pass } = scene;
     world.platform.revertTo(5);
     await pass(1_000);
@@ -157,5 +164,5 @@
 };
 
 test("home table lost by the platform", async () => {
-    expect(await play({ shape: { coldConcurrency: 1 } }, tableLost)).toEqual([]);
+    expect(await play({ shape: { coldConcurrency: 1 } }, loseHomeTable)).toEqual([]);
 });
--- a/__tests__/configurationHolds.test.ts
+++ b/__tests__/configurationHolds.test.ts
@@ -48,8 +48,8 @@
 const silentWatch = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.silentWatches = true;
-    world.part("entry-1", "entry-3", true);
-    world.part("entry-2", "entry-3", true);
+    world.setPartitioned("entry-1", "entry-3", true);
+    world.setPartitioned("entry-2", "entry-3", true);
     await pass(500);
     void callers.change(entry(0), "watched", 333);
     await pass(12_000);
--- a/__tests__/deadlines.test.ts
+++ b/__tests__/deadlines.test.ts
@@ -1,14 +1,14 @@
-/** Every request ends within its time, and what can't make it is refused at once. */
+/** Every request ends by its deadline, and a request that can't meet its deadline is rejected immediately. */
 import { expect, test } from "vitest";
 import { FailureKind, RequestFailure } from "../src/internal.js";
 import { CallerRequest } from "./support/callers.js";
 import { play, Scene } from "./support/scenario.js";
 
-const failure = (request: CallerRequest): RequestFailure | undefined =>
+const failureOf = (request: CallerRequest): RequestFailure | undefined =>
     request.end?.type === "Failed" ? request.end.failure : undefined;
 
-/** Every engine stands still: connections stay open and nothing comes. A caller without a deadline would wait forever. */
-const allFrozen = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+/** All engines are frozen: connections stay open without data. Without deadlines, callers would wait forever. */
+const freezeAllEngines = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     for (let index = 0; index < 6; index++) {
         callers.generate(entry(index % 3), { tokens: 100, answerTokens: 150, timeout: 4_000 });
     }
@@ -20,11 +20,11 @@
 };
 
 test("frozen engines", async () => {
-    expect(await play({}, allFrozen)).toEqual([]);
+    expect(await play({}, freezeAllEngines)).toEqual([]);
 });
 
-/** One engine hangs in the middle of a stream. The caller gets the rest from another engine, in time. */
-const oneFrozen = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+/** One engine freezes in the middle of a stream. The caller receives the rest from another engine before the deadline. */
+const freezeOneEngine = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     const request = callers.generate(entry(0), { tokens: 100, answerTokens: 150, timeout: 20_000 });
     await world.advanceUntil(() => world.engines.some(engine => engine.starts.length > 0), 1_000);
     await pass(200);
@@ -34,17 +34,17 @@
 };
 
 test("one frozen engine", async () => {
-    expect(await play({}, oneFrozen)).toEqual([]);
+    expect(await play({}, freezeOneEngine)).toEqual([]);
 });
 
 test("deadline within a stream", async () => {
-    // The answer takes longer than the caller gives: it must fail at its deadline, not later.
-    const slow = async ({ callers, pass, entry }: Scene): Promise<void> => {
+    // The response takes longer than the caller's timeout: the request must fail at its deadline, not later.
+    const exceedDeadline = async ({ callers, pass, entry }: Scene): Promise<void> => {
         const request = callers.generate(entry(0), { tokens: 100, answerTokens: 200, timeout: 800 });
         await pass(3_000);
-        expect(failure(request)?.kind).toBe(FailureKind.DeadlineExceeded);
+        expect(failureOf(request)?.kind).toBe(FailureKind.DeadlineExceeded);
     };
-    expect(await play({}, slow)).toEqual([]);
+    expect(await play({}, exceedDeadline)).toEqual([]);
     expect((await play({}, async scene => {
         scene.callers.generate(scene.entry(0), { tokens: 100, answerTokens: 200, timeout: 800 });
         await scene.pass(3_000);
@@ -52,39 +52,39 @@
 });
 
 test("refused at once", async () => {
-    // A request that can't be served in time is told so immediately, with the time to come back.
-    const hopeless = async ({ callers, pass, entry }: Scene): Promise<void> => {
+    // A request that can't be served in time is rejected immediately, with the time after which to retry.
+    const sendUnservable = async ({ callers, pass, entry }: Scene): Promise<void> => {
         const request = callers.generate(entry(0), { tokens: 3_500, timeout: 50 });
         await pass(100);
-        expect(failure(request)).toMatchObject({
+        expect(failureOf(request)).toMatchObject({
             kind: FailureKind.Overloaded,
             execution: "not-run",
             retryAfterSeconds: 1,
         });
         expect(request.endedAt! - request.sentAt).toBeLessThan(40);
     };
-    expect(await play({}, hopeless)).toEqual([]);
+    expect(await play({}, sendUnservable)).toEqual([]);
 });
 
 test("no endpoint left", async () => {
-    const nobody = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+    const takeOutAllEndpoints = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         for (const name of ["north", "east"]) {
             await Promise.all([callers.restrict(entry(0), "out", "dataCentre", name), pass(1_000)]);
         }
         expect(world.engines.every(engine => entry(0).node.restrictions.forbids(engine.record))).toBe(true);
         const request = callers.generate(entry(1), { tokens: 100 });
         await pass(5_000);
-        expect(failure(request)).toMatchObject({ kind: FailureKind.NoEndpoint, execution: "not-run" });
+        expect(failureOf(request)).toMatchObject({ kind: FailureKind.NoEndpoint, execution: "not-run" });
         expect(request.endedAt! - request.sentAt).toBeLessThan(4_000);
     };
-    expect(await play({}, nobody)).toEqual([]);
+    expect(await play({}, takeOutAllEndpoints)).toEqual([]);
 });
 
 /**
- * An engine dies and comes back cold while both homes that could give leave for it stand still. Questions to them take
- * 0.8 s each and must not carry a request past its deadline.
+ * The engines become cold while two of the three homes are frozen. A permit request to a frozen home takes 0.8 s to time
+ * out; several in sequence must not carry a request past its deadline.
  */
-const silentHomes = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+const freezeHomes = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     for (const engine of world.engines) {
         engine.model.goCold();
     }
@@ -98,5 +98,5 @@
 };
 
 test("silent homes", async () => {
-    expect(await play({ shape: { coldConcurrency: 1, warmAfter: 1_000 } }, silentHomes)).toEqual([]);
+    expect(await play({ shape: { coldConcurrency: 1, warmAfter: 1_000 } }, freezeHomes)).toEqual([]);
 });
--- a/__tests__/engineMemory.test.ts
+++ b/__tests__/engineMemory.test.ts
@@ -1,47 +1,47 @@
-/** No engine loses memory for good, also with prompts larger than one engine. */
+/** No engine leaks memory, with prompts larger than one engine as well. */
 import { expect, test } from "vitest";
 import { play, Scene } from "./support/scenario.js";
 
-/** An entry dies with streams and reservations on engines. Nobody is left to end them. */
-const entryDies = async (scene: Scene): Promise<void> => {
+/** An entry dies with streams and reservations on engines, which it can't release any more. */
+const killEntry = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    const dying = entry(0);
+    const killedEntry = entry(0);
     for (let index = 0; index < 8; index++) {
-        callers.generate(dying, { tokens: 300, answerTokens: 180 });
+        callers.generate(killedEntry, { tokens: 300, answerTokens: 180 });
     }
-    callers.generate(dying, { tokens: 6_000, answerTokens: 180 });
+    callers.generate(killedEntry, { tokens: 6_000, answerTokens: 180 });
     await pass(400);
     expect(world.engines.some(engine => engine.model.memoryUsedTokens > 0)).toBe(true);
-    world.kill(dying);
+    world.kill(killedEntry);
     await pass(1_000);
-    world.platform.removeInstance(dying.id);
+    world.platform.removeInstance(killedEntry.id);
     await pass(20_000);
 };
 
 test("entry dies with streams", async () => {
-    expect(await play({}, entryDies)).toEqual([]);
-    expect((await play({}, entryDies, "reclaim")).join()).toContain("still holds");
+    expect(await play({}, killEntry)).toEqual([]);
+    expect((await play({}, killEntry, "reclaim")).join()).toContain("still holds");
 });
 
-/** The entry is replaced under the same name at once: the new process must not be taken for the old. */
-const replaced = async (scene: Scene): Promise<void> => {
+/** The entry is replaced at once under the same ID: the new process must not count as the owner of the old holdings. */
+const replaceEntry = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    const dying = entry(1);
-    callers.generate(dying, { tokens: 6_000, answerTokens: 180 });
-    callers.generate(dying, { tokens: 300, answerTokens: 180 });
+    const killedEntry = entry(1);
+    callers.generate(killedEntry, { tokens: 6_000, answerTokens: 180 });
+    callers.generate(killedEntry, { tokens: 300, answerTokens: 180 });
     await pass(400);
-    world.kill(dying);
-    world.addEntry(dying.id);
+    world.kill(killedEntry);
+    world.addEntry(killedEntry.id);
     await pass(20_000);
 };
 
 test("entry replaced under its name", async () => {
-    expect(await play({}, replaced)).toEqual([]);
-    expect((await play({}, replaced, "reclaim")).join()).toContain("still holds");
+    expect(await play({}, replaceEntry)).toEqual([]);
+    expect((await play({}, replaceEntry, "reclaim")).join()).toContain("still holds");
 });
 
-/** Cancels are lost while engines freeze and their requests move elsewhere. The frozen engines wake with old streams. */
-const lostCancels = async (scene: Scene): Promise<void> => {
+/** Release messages are lost while two engines are frozen and their requests move elsewhere; both resume with old streams. */
+const loseReleases = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     for (let index = 0; index < 6; index++) {
         callers.generate(entry(index % 3), { tokens: 300, answerTokens: 180 });
@@ -56,29 +56,29 @@
 };
 
 test("lost cancels", async () => {
-    expect(await play({}, lostCancels)).toEqual([]);
-    expect((await play({}, lostCancels, "reclaim")).join()).toContain("still holds");
+    expect(await play({}, loseReleases)).toEqual([]);
+    expect((await play({}, loseReleases, "reclaim")).join()).toContain("still holds");
 });
 
 test("slow owner keeps its stream", async () => {
-    // An entry that is cut off from its peers still reads its streams: they must not be reclaimed under it.
-    const cutOff = async (scene: Scene): Promise<void> => {
+    // Entries that are partitioned from one another still read their streams, so no peer may reclaim these.
+    const partitionEntries = async (scene: Scene): Promise<void> => {
         const { world, callers, pass, entry } = scene;
         const requests = [0, 1, 2].map(index =>
             callers.generate(entry(index), { tokens: 3_500, answerTokens: 200, timeout: 60_000 })
         );
-        world.part("entry-1", "entry-2", true);
-        world.part("entry-1", "entry-3", true);
-        world.part("entry-2", "entry-3", true);
+        world.setPartitioned("entry-1", "entry-2", true);
+        world.setPartitioned("entry-1", "entry-3", true);
+        world.setPartitioned("entry-2", "entry-3", true);
         await pass(30_000);
         expect(requests.every(request => request.end?.type === "Whole")).toBe(true);
         expect(world.engines.flatMap(engine => engine.starts).length).toBe(3);
     };
-    expect(await play({ shape: { tokensPerStep: 5 } }, cutOff)).toEqual([]);
+    expect(await play({ shape: { tokensPerStep: 5 } }, partitionEntries)).toEqual([]);
 });
 
-/** Prompts of one and a half engines from all entries at once: two must never hold half of a gang each. */
-const gangs = async (scene: Scene): Promise<void> => {
+/** All entries send prompts that need one and a half engines: two requests must never reserve half of a gang each. */
+const competeForGangs = async (scene: Scene): Promise<void> => {
     const { callers, pass, entry } = scene;
     const requests = Array.from(
         { length: 9 },
@@ -89,11 +89,11 @@
 };
 
 test("prompts larger than one engine", async () => {
-    expect(await play({}, gangs)).toEqual([]);
+    expect(await play({}, competeForGangs)).toEqual([]);
 });
 
 test("gang member dies", async () => {
-    const memberDies = async (scene: Scene): Promise<void> => {
+    const crashGangMember = async (scene: Scene): Promise<void> => {
         const { world, callers, pass, entry } = scene;
         const requests = [0, 1].map(index =>
             callers.generate(entry(index), { tokens: 6_000, answerTokens: 190, timeout: 60_000 })
@@ -103,5 +103,5 @@
         await pass(45_000);
         expect(requests.every(request => request.end?.type === "Whole")).toBe(true);
     };
-    expect(await play({}, memberDies)).toEqual([]);
+    expect(await play({}, crashGangMember)).toEqual([]);
 });
--- a/__tests__/fuzz/commands.ts
+++ b/__tests__/fuzz/commands.ts
@@ -1,15 +1,18 @@
-/** The commands of the fuzzing: requests, faults and operators' orders, alone and together. */
+/** The commands that the fuzzer combines: requests, faults and operators' orders. */
 import fc from "fast-check";
 import { absentVersion, InstanceState, ObjectKind } from "../../src/internal.js";
 import { Scene } from "../support/scenario.js";
 import { FakeEntry } from "../support/world.js";
 
-/** What commands know of the run besides the scene: faults that must not meet, and faults still to be undone. */
+/** State that the commands of a run share: the scene, faults that must not coincide, and planned stops. */
 export interface FuzzState {
     scene: Scene;
-    /** Until when the platform fails; an out can't reach a parted peer then, so the two are kept apart. */
+    /**
+     * Until when the platform fails. A take-out order can't reach a partitioned peer during a platform failure, so the
+     * commands never let the two faults coincide.
+     */
     platformFailsUntil: number;
-    partedUntil: number;
+    partitionedUntil: number;
     stops: { entry: FakeEntry; drained: boolean; }[];
 }
 
@@ -33,17 +36,17 @@
     toString = (): string => this.text;
 }
 
-const serving = ({ scene }: FuzzState): FakeEntry[] =>
+const acceptingEntries = ({ scene }: FuzzState): FakeEntry[] =>
     scene.world.entries.filter(entry => entry.alive && !entry.stopped && entry.node.accepting);
 
 const pick = <Item>(items: readonly Item[], index: number): Item | undefined =>
     items[index % Math.max(1, items.length)];
 
-/** Time that an isolated entry is awake before its ways are mended. */
-const isolatedAwakeMilliseconds = 2_500;
+/** Time for which an isolated entry runs after its freeze, before its connections are restored. */
+const isolatedAwakeDurationMilliseconds = 2_500;
 
-/** Undoes a fault after a while of fake time. */
-const later = (milliseconds: number, undo: () => void): void => {
+/** Undoes a fault after `milliseconds` of fake time. */
+const undoLater = (milliseconds: number, undo: () => void): void => {
     const at = now() + milliseconds;
     void (async () => {
         while (now() < at) {
@@ -55,7 +58,7 @@
 
 const generate = (entryIndex: number, tokens: number, answerTokens: number, timeout: number): FuzzCommand =>
     new Command(`generate(${entryIndex}, ${tokens}, ${answerTokens}, ${timeout})`, state => {
-        const entry = pick(serving(state), entryIndex);
+        const entry = pick(acceptingEntries(state), entryIndex);
         if (entry) {
             state.scene.callers.generate(entry, { tokens, answerTokens, timeout });
         }
@@ -63,7 +66,7 @@
 
 const poison = (entryIndex: number, variant: number): FuzzCommand =>
     new Command(`poison(${entryIndex}, ${variant})`, state => {
-        const entry = pick(serving(state), entryIndex);
+        const entry = pick(acceptingEntries(state), entryIndex);
         if (entry) {
             const prompt = `[[crash]] variant ${variant}`.padEnd(400, " x");
             state.scene.callers.generatePrompt(entry, prompt, { tokens: 100, timeout: 8_000 });
@@ -72,7 +75,7 @@
 
 const book = (entryIndex: number, key: number | undefined): FuzzCommand =>
     new Command(`book(${entryIndex}, ${key})`, state => {
-        const entry = pick(serving(state), entryIndex);
+        const entry = pick(acceptingEntries(state), entryIndex);
         if (entry) {
             state.scene.callers.book(entry, key === undefined ? undefined : `key-${key}`, 6_000);
         }
@@ -81,29 +84,29 @@
 const kill = (entryIndex: number): FuzzCommand =>
     new Command(`kill(${entryIndex})`, state => {
         const { world } = state.scene;
-        const entry = pick(serving(state), entryIndex);
-        if (!entry || serving(state).length < 2) {
+        const entry = pick(acceptingEntries(state), entryIndex);
+        if (!entry || acceptingEntries(state).length < 2) {
             return;
         }
         world.kill(entry);
-        later(1_500, () => void world.addEntry(entry.id));
+        undoLater(1_500, () => void world.addEntry(entry.id));
     });
 
 const freeze = (entryIndex: number, milliseconds: number): FuzzCommand =>
     new Command(`freeze(${entryIndex}, ${milliseconds})`, state => {
         const { world } = state.scene;
-        const entry = pick(serving(state).filter(each => !each.gate.frozen), entryIndex);
+        const entry = pick(acceptingEntries(state).filter(candidate => !candidate.gate.frozen), entryIndex);
         if (entry) {
             world.freeze(entry);
-            later(milliseconds, () => entry.alive && world.thaw(entry));
+            undoLater(milliseconds, () => entry.alive && world.thaw(entry));
         }
     });
 
 const stop = (entryIndex: number): FuzzCommand =>
     new Command(`stop(${entryIndex})`, state => {
         const { world } = state.scene;
-        const entry = pick(serving(state).filter(each => !each.gate.frozen), entryIndex);
-        if (!entry || serving(state).length < 2) {
+        const entry = pick(acceptingEntries(state).filter(candidate => !candidate.gate.frozen), entryIndex);
+        if (!entry || acceptingEntries(state).length < 2) {
             return;
         }
         const record = { entry, drained: false };
@@ -112,7 +115,7 @@
             record.drained = true;
             entry.stopped = true;
             entry.alive = false;
-            later(1_000, () => void world.addEntry(entry.id));
+            undoLater(1_000, () => void world.addEntry(entry.id));
         });
     });
 
@@ -127,11 +130,11 @@
                 engine.model.goCold();
                 return;
             case "silent":
-                engine.silence++;
+                engine.stallCount++;
                 return;
             case "freeze":
                 engine.gate.freeze();
-                later(4_000, () => engine.gate.thaw());
+                undoLater(4_000, () => engine.gate.thaw());
                 return;
             case "loseCancels":
                 engine.lostReleases = 10;
@@ -145,7 +148,7 @@
             case "leave":
                 engine.record.state = InstanceState.Leaving;
                 state.scene.world.platform.announce({ ...engine.record });
-                later(8_000, () => {
+                undoLater(8_000, () => {
                     engine.record.state = InstanceState.Live;
                     state.scene.world.platform.announce({ ...engine.record });
                 });
@@ -162,15 +165,15 @@
                 return;
             case "refuse":
                 service.refusesConnections = true;
-                later(2_000, () => service.refusesConnections = false);
+                undoLater(2_000, () => service.refusesConnections = false);
                 return;
             case "freeze":
                 service.gate.freeze();
-                later(3_000, () => service.gate.thaw());
+                undoLater(3_000, () => service.gate.thaw());
                 return;
             case "die":
                 service.model.die();
-                later(1_500, () => service.model.revive());
+                undoLater(1_500, () => service.model.revive());
                 return;
         }
     });
@@ -178,69 +181,69 @@
 const platformFault = (fault: string, milliseconds: number): FuzzCommand =>
     new Command(`platform(${fault}, ${milliseconds})`, state => {
         const { faults } = state.scene.world.platform;
-        if (state.partedUntil > now()) {
+        if (state.partitionedUntil > now()) {
             return;
         }
         state.platformFailsUntil = Math.max(state.platformFailsUntil, now() + milliseconds + 2_000);
         switch (fault) {
             case "down":
                 faults.down = true;
-                later(milliseconds, () => faults.down = false);
+                undoLater(milliseconds, () => faults.down = false);
                 return;
             case "slow":
                 faults.slowMilliseconds = 3_000;
-                later(milliseconds, () => faults.slowMilliseconds = 0);
+                undoLater(milliseconds, () => faults.slowMilliseconds = 0);
                 return;
             case "loseAnswers":
                 faults.lostAnswers = 0.5;
-                later(milliseconds, () => faults.lostAnswers = 0);
+                undoLater(milliseconds, () => faults.lostAnswers = 0);
                 return;
             case "silentWatches":
                 faults.silentWatches = true;
-                later(milliseconds, () => faults.silentWatches = false);
+                undoLater(milliseconds, () => faults.silentWatches = false);
                 return;
             case "listLag":
                 faults.listLagMilliseconds = 3_000;
-                later(milliseconds, () => faults.listLagMilliseconds = 500);
+                undoLater(milliseconds, () => faults.listLagMilliseconds = 500);
                 return;
         }
     });
 
-const part = (firstIndex: number, secondIndex: number, milliseconds: number): FuzzCommand =>
+const partition = (firstIndex: number, secondIndex: number, milliseconds: number): FuzzCommand =>
     new Command(`part(${firstIndex}, ${secondIndex}, ${milliseconds})`, state => {
         const { world } = state.scene;
         const [first, second] = [pick(world.entries, firstIndex)!, pick(world.entries, secondIndex)!];
         if (first !== second && state.platformFailsUntil <= now()) {
-            state.partedUntil = Math.max(state.partedUntil, now() + milliseconds + 2_000);
-            world.part(first.id, second.id, true);
-            later(milliseconds, () => world.part(first.id, second.id, false));
+            state.partitionedUntil = Math.max(state.partitionedUntil, now() + milliseconds + 2_000);
+            world.setPartitioned(first.id, second.id, true);
+            undoLater(milliseconds, () => world.setPartitioned(first.id, second.id, false));
         }
     });
 
-/** An entry loses all ways to its peers and the platform, stands still, and goes on before they are mended. */
+/** Isolates an entry from its peers and the platform, freezes it, and thaws it before the connections are restored. */
 const isolate = (entryIndex: number, milliseconds: number): FuzzCommand =>
     new Command(`isolate(${entryIndex}, ${milliseconds})`, state => {
         const { world } = state.scene;
-        const entry = pick(serving(state).filter(each => !each.gate.frozen), entryIndex);
-        if (!entry || state.platformFailsUntil > now() || state.partedUntil > now()) {
+        const entry = pick(acceptingEntries(state).filter(candidate => !candidate.gate.frozen), entryIndex);
+        if (!entry || state.platformFailsUntil > now() || state.partitionedUntil > now()) {
             return;
         }
-        const whole = milliseconds + isolatedAwakeMilliseconds;
-        state.partedUntil = now() + whole + 2_000;
-        const others = world.entries.filter(each => each !== entry).map(each => each.id);
-        const cut = (apart: boolean): void => {
-            entry.platformCut = apart;
-            others.forEach(other => world.part(entry.id, other, apart));
+        const partitionDuration = milliseconds + isolatedAwakeDurationMilliseconds;
+        state.partitionedUntil = now() + partitionDuration + 2_000;
+        const others = world.entries.filter(candidate => candidate !== entry).map(candidate => candidate.id);
+        const setIsolated = (isIsolated: boolean): void => {
+            entry.platformCut = isIsolated;
+            others.forEach(other => world.setPartitioned(entry.id, other, isIsolated));
         };
-        cut(true);
+        setIsolated(true);
         world.freeze(entry);
-        later(milliseconds, () => entry.alive && world.thaw(entry));
-        later(whole, () => cut(false));
+        undoLater(milliseconds, () => entry.alive && world.thaw(entry));
+        undoLater(partitionDuration, () => setIsolated(false));
     });
 
 const restrict = (entryIndex: number, direction: "out" | "in", dataCentre: string): FuzzCommand =>
     new Command(`restrict(${entryIndex}, ${direction}, ${dataCentre})`, state => {
-        const entry = pick(serving(state).filter(each => !each.gate.frozen), entryIndex);
+        const entry = pick(acceptingEntries(state).filter(candidate => !candidate.gate.frozen), entryIndex);
         if (entry) {
             void state.scene.callers.restrict(entry, direction, "dataCentre", dataCentre).catch(() => undefined);
         }
@@ -248,16 +251,16 @@
 
 const change = (entryIndex: number, name: string, value: number): FuzzCommand =>
     new Command(`change(${entryIndex}, ${name}, ${value})`, state => {
-        const entry = pick(serving(state).filter(each => !each.gate.frozen), entryIndex);
+        const entry = pick(acceptingEntries(state).filter(candidate => !candidate.gate.frozen), entryIndex);
         if (entry) {
             void state.scene.callers.change(entry, name, value);
         }
     });
 
-const removeOfList = (entryIndex: number): FuzzCommand =>
+const removeFromList = (entryIndex: number): FuzzCommand =>
     new Command(`forget(${entryIndex})`, state => {
-        // The platform loses sight of a live entry, which puts itself on the list again.
-        const entry = pick(serving(state), entryIndex);
+        // The platform removes a live entry from the instance list, and the entry announces itself again.
+        const entry = pick(acceptingEntries(state), entryIndex);
         if (entry) {
             state.scene.world.platform.removeInstance(entry.id);
         }
@@ -265,7 +268,7 @@
 
 const foreignWrite = (value: number): FuzzCommand =>
     new Command(`foreignWrite(${value})`, state => {
-        // Something else writes to the platform, past every entry.
+        // Another client writes to the platform directly.
         const { platform } = state.scene.world;
         const version = platform.read(ObjectKind.Profile, "raced")?.version ?? absentVersion;
         platform.write(ObjectKind.Profile, "raced", version, { shortPromptTokens: value });
@@ -280,7 +283,7 @@
 const serviceFaults = ["loseAnswers", "refuse", "freeze", "die"];
 const platformFaults = ["down", "slow", "loseAnswers", "silentWatches", "listLag"];
 
-/** Arbitrary commands; requests and time come most often. */
+/** Generates up to `maximum` commands; requests and time steps are the most frequent. */
 export const anyCommands = (maximum: number): fc.Arbitrary<Iterable<FuzzCommand>> => {
     const short = fc.tuple(index, fc.integer({ min: 20, max: 400 }), fc.integer({ min: 5, max: 120 }))
         .map(([entry, tokens, answer]) => generate(entry, tokens, answer, 12_000));
@@ -312,7 +315,7 @@
         fc.tuple(fc.constantFrom(...platformFaults), fc.integer({ min: 5, max: 150 }))
             .map(([fault, tenths]) => platformFault(fault, tenths * 100)),
         fc.tuple(index, index, fc.integer({ min: 5, max: 80 })).map(([first, second, tenths]) =>
-            part(first, second, tenths * 100)
+            partition(first, second, tenths * 100)
         ),
         fc.tuple(index, fc.constantFrom("out" as const, "in" as const), fc.constantFrom("north", "east"))
             .map(([entry, direction, dataCentre]) => restrict(entry, direction, dataCentre)),
@@ -321,7 +324,7 @@
         fc.tuple(index, fc.constantFrom("north", "east")).map(([entry, dataCentre]) =>
             restrict(entry, "out", dataCentre)
         ),
-        index.map(removeOfList),
+        index.map(removeFromList),
         fc.integer({ min: 300, max: 900 }).map(foreignWrite),
     ], { maxCommands: maximum, size: "max" });
 };
--- a/__tests__/fuzz/fuzz.ts
+++ b/__tests__/fuzz/fuzz.ts
@@ -1,4 +1,4 @@
-/** One fuzzing run: commands on a world, then healing, quiet, and the oracle's verdict. */
+/** Runs fuzzing properties: random commands on a world, then healing, a quiet period, and the oracle's checks. */
 import fc from "fast-check";
 import { vi } from "vitest";
 import { Callers } from "../support/callers.js";
@@ -6,14 +6,14 @@
 import { FakeEntry, useFakeTime, World } from "../support/world.js";
 import { anyCommands, FuzzState } from "./commands.js";
 
-const lookMilliseconds = 100;
-const quietMilliseconds = 45_000;
-const commandsAtMost = 60;
-const linesOfTimeline = 200;
-/** Shrinking stops with what it has after this much real time. */
-const shrinkMilliseconds = 120_000;
+const checkIntervalMilliseconds = 100;
+const quietDurationMilliseconds = 45_000;
+const maximumCommands = 60;
+const maximumTimelineLines = 200;
+/** Shrinking ends after this much real time, with the smallest failure so far. */
+const shrinkTimeoutMilliseconds = 120_000;
 
-/** What a run showed. */
+/** Violations and timeline of one run. */
 interface RunResult {
     violations: string[];
     timeline: string;
@@ -23,7 +23,7 @@
     const events = entries.flatMap(entry => entry.timeline.page(0).events);
     events.sort((first, second) => first.wallTime - second.wallTime);
     const start = events[0]?.wallTime ?? 0;
-    return events.slice(-linesOfTimeline)
+    return events.slice(-maximumTimelineLines)
         .map(event =>
             `+${event.wallTime - start} ${event.process} ${event.part} ${event.event} ${event.requestId ?? ""} ${
                 event.detail ?? ""
@@ -38,9 +38,9 @@
     without: Mechanism | undefined,
 ): Promise<RunResult> => {
     useFakeTime();
-    const everyEntry: FakeEntry[] = [];
+    const allEntries: FakeEntry[] = [];
     const prepare = (entry: FakeEntry): void => {
-        everyEntry.push(entry);
+        allEntries.push(entry);
         if (without) {
             switchOff[without](entry);
         }
@@ -48,26 +48,26 @@
     const world = new World({ seed, prepare, shape: { coldConcurrency: 1 } });
     const callers = new Callers(world);
     const pass = async (milliseconds: number): Promise<void> => {
-        for (let passed = 0; passed < milliseconds; passed += lookMilliseconds) {
-            await world.advance(lookMilliseconds);
-            callers.look();
+        for (let passed = 0; passed < milliseconds; passed += checkIntervalMilliseconds) {
+            await world.advance(checkIntervalMilliseconds);
+            callers.checkInvariants();
         }
     };
     const scene = { world, callers, pass, entry: (index: number) => world.entries[index]! };
-    const state: FuzzState = { scene, platformFailsUntil: 0, partedUntil: 0, stops: [] };
+    const state: FuzzState = { scene, platformFailsUntil: 0, partitionedUntil: 0, stops: [] };
     try {
         await world.settle();
         await fc.asyncModelRun(() => ({ model: {}, real: state }), commands);
         await pass(2_000);
         world.heal();
-        await pass(quietMilliseconds);
-        const violations = callers.verdict(true);
+        await pass(quietDurationMilliseconds);
+        const violations = callers.collectViolations(true);
         for (const { entry, drained } of state.stops) {
             if (!drained && entry.alive) {
                 violations.push(`${entry.id} never ended its planned stop`);
             }
         }
-        return { violations, timeline: timelineOf(everyEntry) };
+        return { violations, timeline: timelineOf(allEntries) };
     }
     finally {
         world.close();
@@ -75,29 +75,29 @@
     }
 };
 
-/** A fuzzing property that failed, with the shrunk commands and the time line of the failing run. */
+/** A fuzzing property failed; the message holds the commands and the violations, and on request the timeline. */
 export class FuzzFailure extends Error {}
 
-/** What to fuzz. */
+/** Options of a fuzzing property. */
 export interface FuzzPlan {
     seed: number;
     runs: number;
     without?: Mechanism;
     shrink?: boolean;
-    /** Path of a failing run as fast-check printed it, to replay just that. */
+    /** Path of a failing run as fast-check printed it, to replay only that run. */
     path?: string;
 }
 
-/** Runs the property. Throws {@link FuzzFailure}. */
+/** Checks the property with `runs` random runs. Throws {@link FuzzFailure} if one has violations. */
 export const fuzz = async ({ seed, runs, without, shrink = false, path }: FuzzPlan): Promise<void> => {
-    let last: RunResult | undefined;
+    let lastFailure: RunResult | undefined;
     const property = fc.asyncProperty(
         fc.integer({ min: 1, max: 1_000_000 }),
-        anyCommands(commandsAtMost),
+        anyCommands(maximumCommands),
         async (worldSeed, commands) => {
             const result = await runCommands(worldSeed, commands, without);
             if (result.violations.length > 0) {
-                last = result;
+                lastFailure = result;
             }
             return result.violations.length === 0;
         },
@@ -107,11 +107,11 @@
         numRuns: runs,
         path,
         endOnFailure: !shrink,
-        ...(shrink ? { interruptAfterTimeLimit: shrinkMilliseconds } : {}),
+        ...(shrink ? { interruptAfterTimeLimit: shrinkTimeoutMilliseconds } : {}),
     });
     if (outcome.failed) {
-        const shown = `seed ${outcome.seed}, path ${outcome.counterexamplePath}, run ${outcome.numRuns}\n`
-            + `${String(outcome.counterexample)}\n${last?.violations.slice(0, 10).join("\n")}`;
-        throw new FuzzFailure(process.env.FUZZ_TIMELINE ? `${shown}\n${last?.timeline}` : shown);
+        const message = `seed ${outcome.seed}, path ${outcome.counterexamplePath}, run ${outcome.numRuns}\n`
+            + `${String(outcome.counterexample)}\n${lastFailure?.violations.slice(0, 10).join("\n")}`;
+        throw new FuzzFailure(process.env.FUZZ_TIMELINE ? `${message}\n${lastFailure?.timeline}` : message);
     }
 };
--- a/__tests__/stops.test.ts
+++ b/__tests__/stops.test.ts
@@ -108,8 +108,8 @@
     const paused = entry(2);
     world.freeze(paused);
     paused.platformCut = true;
-    world.part("entry-1", "entry-3", true);
-    world.part("entry-2", "entry-3", true);
+    world.setPartitioned("entry-1", "entry-3", true);
+    world.setPartitioned("entry-2", "entry-3", true);
     for (let index = 0; index < 30; index++) {
         callers.generate(paused, { tokens: 100, timeout: 60_000 });
         callers.book(paused, undefined, 60_000);
--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -1,4 +1,7 @@
-/** Callers of a world, and the oracle: it knows only what callers sent and got, what endpoints ran, what operators were told. */
+/**
+ * The callers of a simulated world, and the test oracle. The oracle judges only by what callers sent and received, what
+ * endpoints ran, and which responses operators got; it reads an entry's state only for accepted configuration changes.
+ */
 import {
     Deadline,
     Execution,
@@ -18,10 +21,10 @@
 export type CallerEnd =
     | { type: "Whole"; text: string; }
     | { type: "Failed"; failure: RequestFailure; text: string; }
-    /** Its entry died; the caller's connection broke. */
+    /** The entry died and the caller's connection broke. */
     | { type: "Broken"; };
 
-/** One request as its caller knows it. */
+/** One request as its caller sees it. */
 export interface CallerRequest {
     requestId: string;
     entry: FakeEntry;
@@ -33,7 +36,7 @@
     end: CallerEnd | undefined;
 }
 
-/** What to send. */
+/** The size and timeout of a generation to send. */
 export interface GenerationPlan {
     tokens: number;
     answerTokens?: number;
@@ -41,57 +44,62 @@
     poison?: boolean;
 }
 
-interface Told {
+interface TakeOut {
     kind: ProvisionalOut["kind"];
     name: string;
-    /** When the operator was told that it is out; Infinity before. */
+    /** When the operator got the response to the order; Infinity before. */
     outAt: number;
-    /** When an operator asked for it back in. */
+    /** When an operator ordered the target back in; Infinity before. */
     until: number;
 }
 
 const charactersPerToken = 4;
-/** Time after which an out must hold, and by which a request may miss its deadline through fake time's steps. */
-const outHoldsAfterMilliseconds = 3_000;
+/** No new request may start on a target that was taken out this long ago. */
+const takeOutEffectTimeoutMilliseconds = 3_000;
+/** Tolerance for deadlines, because fake time advances in steps. */
 const deadlineSlackMilliseconds = 300;
-const inForceMilliseconds = 19_000;
-const poisonStartsAtMost = 8;
+/** Every ready entry must hold an accepted change this long after it was accepted. */
+const changeEffectTimeoutMilliseconds = 19_000;
+const maximumPoisonStarts = 8;
 
-/** Sends requests into a world and keeps what came of them. */
+/** Sends requests and operators' orders into a world and records their results. */
 export class Callers {
     readonly requests: CallerRequest[] = [];
-    /** Requests that carry a prompt which crashes engines, by prompt. */
-    private readonly poisoned = new Map<string, string[]>();
-    private readonly told: Told[] = [];
-    /** Orders in that are being carried out, by what they concern: an out beside one of them promises nothing. */
-    private readonly bringing = new Map<string, number>();
-    private readonly accepted: { kind: ObjectKind; name: string; version: number; at: number; }[] = [];
-    private readonly highest = new Map<string, number>();
+    /** IDs of the requests that carry each prompt that crashes engines. */
+    private readonly requestIdsByPoisonPrompt = new Map<string, string[]>();
+    private readonly takeOuts: TakeOut[] = [];
+    /** Number of pending bring-in orders by target; a concurrent take-out order guarantees nothing. */
+    private readonly pendingBringInCounts = new Map<string, number>();
+    private readonly acceptedChanges: { kind: ObjectKind; name: string; version: number; at: number; }[] = [];
+    private readonly highestVersions = new Map<string, number>();
     private readonly violations: string[] = [];
-    private sent = 0;
+    private sentCount = 0;
 
     constructor(private readonly world: World) {}
 
-    /** Starts a generation; its end is recorded. */
+    /** Starts a generation and records its end. */
     generate(entry: FakeEntry, plan: GenerationPlan): CallerRequest {
         const answerTokens = plan.answerTokens ?? 20;
-        const head = `${plan.poison ? crashMark : ""}[[tokens=${answerTokens}]] number ${this.sent}`;
-        return this.generatePrompt(entry, head.padEnd(plan.tokens * charactersPerToken, " x"), plan);
+        const promptStart = `${plan.poison ? crashMark : ""}[[tokens=${answerTokens}]] number ${this.sentCount}`;
+        return this.generatePrompt(entry, promptStart.padEnd(plan.tokens * charactersPerToken, " x"), plan);
     }
 
-    /** Starts a generation of a given prompt. */
+    /** Starts a generation of `prompt` and records its end. */
     generatePrompt(entry: FakeEntry, prompt: string, plan: GenerationPlan): CallerRequest {
         const answerTokens = plan.answerTokens ?? 20;
         const timeout = plan.timeout ?? 30_000;
         const { node } = entry;
         const service = node.configuration.service("standin")!;
         const profile = node.configuration.profileOf(service);
-        const request = this.begin(entry, timeout, undefined, expectedAnswer(prompt, answerTokens));
+        const request = this.createRequest(entry, timeout, undefined, expectedAnswer(prompt, answerTokens));
         if (isCrashing(prompt)) {
-            this.poisoned.set(prompt, [...this.poisoned.get(prompt) ?? [], request.requestId]);
+            this.requestIdsByPoisonPrompt.set(prompt, [
+                ...this.requestIdsByPoisonPrompt.get(prompt) ?? [],
+                request.requestId,
+            ]);
         }
         const promptTokens = Math.ceil(prompt.length / charactersPerToken);
-        void this.follow(request, () =>
+        void this.recordEnd(request, () =>
             node.generations.run({
                 service,
                 prompt,
@@ -114,13 +122,13 @@
         return request;
     }
 
-    /** Starts a booking; with a key it must run at most once over all its repeats. */
+    /** Starts a booking; all bookings with the same idempotency key together must run at most once. */
     book(entry: FakeEntry, key: string | undefined, timeout = 10_000, place = "4"): CallerRequest {
         const { node } = entry;
-        const request = this.begin(entry, timeout, key, undefined);
+        const request = this.createRequest(entry, timeout, key, undefined);
         const profile = node.configuration.profileOf(node.configuration.service("bookings"));
         const deadlineOf = () => this.deadline(entry, timeout);
-        void this.follow(request, async function*(): AsyncGenerator<ResponseChunk, void> {
+        void this.recordEnd(request, async function*(): AsyncGenerator<ResponseChunk, void> {
             const { response } = await node.serviceCalls.run({
                 nonIdempotent: true,
                 request: {
@@ -150,7 +158,7 @@
         return request;
     }
 
-    /** An operator takes something out, or brings it back in, at an entry. */
+    /** An operator orders an entry to take a target out of service or to bring it back in; returns the outcome's type. */
     async restrict(
         entry: FakeEntry,
         direction: "out" | "in",
@@ -159,32 +167,32 @@
     ): Promise<string> {
         const key = `${kind}/${name}`;
         if (direction === "in") {
-            this.endOuts(kind, name);
-            this.bringing.set(key, (this.bringing.get(key) ?? 0) + 1);
+            this.endTakeOuts(kind, name);
+            this.pendingBringInCounts.set(key, (this.pendingBringInCounts.get(key) ?? 0) + 1);
             const outcome = await entry.node.operations.bringIn(kind, name).catch(() => ({ type: "Failed" as const }));
-            this.bringing.set(key, this.bringing.get(key)! - 1);
+            this.pendingBringInCounts.set(key, this.pendingBringInCounts.get(key)! - 1);
             return outcome.type;
         }
         const askedAt = systemClock.now();
-        const out: Told = {
+        const out: TakeOut = {
             kind,
             name,
             outAt: Infinity,
-            until: (this.bringing.get(key) ?? 0) > 0 ? askedAt : Infinity,
+            until: (this.pendingBringInCounts.get(key) ?? 0) > 0 ? askedAt : Infinity,
         };
-        this.told.push(out);
+        this.takeOuts.push(out);
         const outcome = await entry.node.operations.takeOut(kind, name);
         out.outAt = systemClock.now();
         return outcome.type;
     }
 
-    /** An operator changes a profile at an entry; an accepted change must stay and spread. */
+    /** An operator changes a profile through an entry; every entry must eventually hold an accepted change and keep it. */
     async change(entry: FakeEntry, name: string, shortPromptTokens: number): Promise<string> {
         try {
             const outcome = await entry.node.operations.change(ObjectKind.Profile, name, { shortPromptTokens });
             if (outcome.type === "Accepted") {
                 const { version } = outcome;
-                this.accepted.push({ kind: ObjectKind.Profile, name, version, at: systemClock.now() });
+                this.acceptedChanges.push({ kind: ObjectKind.Profile, name, version, at: systemClock.now() });
             }
             return outcome.type;
         }
@@ -193,50 +201,57 @@
         }
     }
 
-    /** Looks at what must hold at every moment. Call it often. */
-    look(): void {
+    /** Checks the invariants that must hold at every moment; call it often. */
+    checkInvariants(): void {
         const now = systemClock.now();
         for (const entry of this.world.entries) {
-            for (const { kind, name, version, at } of this.accepted) {
-                const held = entry.node.configuration.version(kind, name);
+            for (const { kind, name, version, at } of this.acceptedChanges) {
+                const heldVersion = entry.node.configuration.version(kind, name);
                 const key = `${entry.node.incarnation}/${name}`;
-                this.note(held >= (this.highest.get(key) ?? 0), `${entry.id} reverted ${name}`);
-                this.highest.set(key, held);
-                const settled = now - Math.max(at, entry.frozenUntil) > inForceMilliseconds;
-                const able = entry.alive && !entry.stopped && !entry.gate.frozen && entry.node.ready && settled;
-                this.note(!able || held >= version, `${entry.id} lacks accepted ${name} version ${version}`);
+                this.requireInvariant(
+                    heldVersion >= (this.highestVersions.get(key) ?? 0),
+                    `${entry.id} reverted ${name}`,
+                );
+                this.highestVersions.set(key, heldVersion);
+                const isSettled = now - Math.max(at, entry.frozenUntil) > changeEffectTimeoutMilliseconds;
+                const mustHoldChange = entry.alive && !entry.stopped && !entry.gate.frozen && entry.node.ready
+                    && isSettled;
+                this.requireInvariant(
+                    !mustHoldChange || heldVersion >= version,
+                    `${entry.id} lacks accepted ${name} version ${version}`,
+                );
             }
         }
     }
 
-    /** Everything that the promises forbid and that happened. `final` adds what must hold once all is quiet. */
-    verdict(final: boolean): string[] {
-        const found = [...this.violations];
+    /** Returns all violations so far. `final` adds the checks that must hold once the world is quiet. */
+    collectViolations(final: boolean): string[] {
+        const violations = [...this.violations];
         for (const request of this.requests) {
-            found.push(...this.judge(request, final));
+            violations.push(...this.violationsOf(request, final));
         }
         for (const [key, runs] of this.world.runs) {
             if (runs > 1) {
-                found.push(`key ${key} ran ${runs} times`);
+                violations.push(`key ${key} ran ${runs} times`);
             }
         }
         for (const engine of this.world.engines) {
             const { coldOverloads, memoryUsedTokens } = engine.model;
             if (coldOverloads > 0) {
-                found.push(`${engine.record.id} was overloaded while cold, ${coldOverloads} times`);
+                violations.push(`${engine.record.id} was overloaded while cold, ${coldOverloads} times`);
             }
             if (final && memoryUsedTokens > 0) {
-                found.push(`${engine.record.id} still holds ${memoryUsedTokens} tokens`);
+                violations.push(`${engine.record.id} still holds ${memoryUsedTokens} tokens`);
             }
         }
-        return [...found, ...this.lateStarts(), ...this.poisonStarts()];
+        return [...violations, ...this.startsAfterTakeOut(), ...this.excessPoisonStarts()];
     }
 
     private deadline(entry: FakeEntry, timeout: number): Deadline {
         return new Deadline(entry.node.ports.clock, entry.ignoresDeadlines ? Number.MAX_SAFE_INTEGER : timeout);
     }
 
-    private begin(
+    private createRequest(
         entry: FakeEntry,
         timeout: number,
         key: string | undefined,
@@ -244,7 +259,7 @@
     ): CallerRequest {
         const sentAt = systemClock.now();
         const request: CallerRequest = {
-            requestId: `request${this.sent++}`,
+            requestId: `request${this.sentCount++}`,
             entry,
             key,
             expected,
@@ -257,15 +272,15 @@
         return request;
     }
 
-    private async follow(request: CallerRequest, run: () => AsyncGenerator<ResponseChunk, void>): Promise<void> {
+    private async recordEnd(request: CallerRequest, run: () => AsyncGenerator<ResponseChunk, void>): Promise<void> {
         const { node } = request.entry;
         let text = "";
-        // A process that stands still reads no request before it goes on.
-        await request.entry.gate.pass();
+        // A frozen process reads no request until it is thawed.
+        await request.entry.gate.waitUntilThawed();
         node.activeRequests++;
         try {
-            for await (const piece of run()) {
-                text += piece.type === "Text" ? piece.text : "";
+            for await (const chunk of run()) {
+                text += chunk.type === "Text" ? chunk.text : "";
             }
             request.end ??= { type: "Whole", text };
         }
@@ -282,80 +297,82 @@
         }
     }
 
-    private judge(request: CallerRequest, final: boolean): string[] {
+    private violationsOf(request: CallerRequest, final: boolean): string[] {
         const { end, requestId } = request;
         if (!end) {
-            // A caller whose entry died or stands still has a broken connection, not a late answer.
-            const cut = (!request.entry.alive || request.entry.gate.frozen) && !request.entry.cutsAtStop;
-            const late = systemClock.now() > request.deadlineAt + deadlineSlackMilliseconds;
-            return (late || final) && !cut ? [`${requestId} has not ended`] : [];
+            // If the entry has died or is frozen, the caller has a broken connection, not a late response.
+            const isConnectionBroken = (!request.entry.alive || request.entry.gate.frozen) && !request.entry.cutsAtStop;
+            const isLate = systemClock.now() > request.deadlineAt + deadlineSlackMilliseconds;
+            return (isLate || final) && !isConnectionBroken ? [`${requestId} has not ended`] : [];
         }
-        const found: string[] = [];
-        const undisturbed = request.entry.frozenUntil < request.sentAt;
-        if (undisturbed && request.endedAt! > request.deadlineAt + deadlineSlackMilliseconds) {
-            found.push(`${requestId} ended ${Math.round(request.endedAt! - request.deadlineAt)} ms late`);
+        const violations: string[] = [];
+        const wasNotFrozen = request.entry.frozenUntil < request.sentAt;
+        if (wasNotFrozen && request.endedAt! > request.deadlineAt + deadlineSlackMilliseconds) {
+            violations.push(`${requestId} ended ${Math.round(request.endedAt! - request.deadlineAt)} ms late`);
         }
         if (end.type === "Whole" && request.expected !== undefined && end.text !== request.expected) {
-            found.push(`${requestId} got another answer: ${end.text.length} of ${request.expected.length} characters`);
+            violations.push(
+                `${requestId} got another answer: ${end.text.length} of ${request.expected.length} characters`,
+            );
         }
-        if (end.type === "Failed" && end.failure.execution === Execution.NotRun && this.ran(request)) {
-            found.push(`${requestId} was told not-run and ran: ${end.failure.message}`);
+        if (end.type === "Failed" && end.failure.execution === Execution.NotRun && this.hasRun(request)) {
+            violations.push(`${requestId} was told not-run and ran: ${end.failure.message}`);
         }
-        return found;
+        return violations;
     }
 
-    private ran(request: CallerRequest): boolean {
+    private hasRun(request: CallerRequest): boolean {
         if (request.key !== undefined) {
-            // Whoever repeats a key learns of the key, whichever of its requests ran.
-            const before = this.world.services.flatMap(service => service.starts);
+            // The outcome concerns the idempotency key: a run of any request with this key counts.
+            const starts = this.world.services.flatMap(service => service.starts);
             const ids = this.requests.filter(other => other.key === request.key).map(other => other.requestId);
-            return before.some(start => ids.includes(start.requestId) && start.at <= request.endedAt!);
+            return starts.some(start => ids.includes(start.requestId) && start.at <= request.endedAt!);
         }
         return (this.world.runs.get(request.requestId) ?? 0) > 0
             || this.world.engines.some(engine => (engine.model.runs.get(request.requestId) ?? 0) > 0);
     }
 
-    private endOuts(kind: ProvisionalOut["kind"], name: string): void {
-        for (const out of this.told) {
+    private endTakeOuts(kind: ProvisionalOut["kind"], name: string): void {
+        for (const out of this.takeOuts) {
             if (out.kind === kind && out.name === name) {
                 out.until = Math.min(out.until, systemClock.now());
             }
         }
     }
 
-    private lateStarts(): string[] {
-        const found: string[] = [];
+    private startsAfterTakeOut(): string[] {
+        const violations: string[] = [];
         for (const endpoint of [...this.world.engines, ...this.world.services]) {
-            for (const out of this.told) {
-                const concerned =
+            for (const out of this.takeOuts) {
+                const isTarget =
                     out.name === (out.kind === "dataCentre" ? endpoint.record.dataCentre : endpoint.record.id);
-                for (const start of concerned ? endpoint.starts : []) {
-                    if (start.at > out.outAt + outHoldsAfterMilliseconds && start.at < out.until) {
+                for (const start of isTarget ? endpoint.starts : []) {
+                    if (start.at > out.outAt + takeOutEffectTimeoutMilliseconds && start.at < out.until) {
                         const after = Math.round(start.at - out.outAt);
-                        found.push(
+                        violations.push(
                             `${endpoint.record.id} got ${start.requestId} ${after} ms after ${out.name} went out`,
                         );
                     }
                 }
             }
         }
-        return found;
+        return violations;
     }
 
-    /** Copies that were under way together, and strikes that died with their entry, explain a few starts and no more. */
-    private poisonStarts(): string[] {
-        const found: string[] = [];
+    /** Concurrent copies of a prompt, and crash records that were lost with their entry, explain a few extra starts at most. */
+    private excessPoisonStarts(): string[] {
+        const violations: string[] = [];
         const starts = this.world.engines.flatMap(engine => engine.starts);
-        for (const [prompt, requestIds] of this.poisoned) {
+        for (const [prompt, requestIds] of this.requestIdsByPoisonPrompt) {
             const count = starts.filter(start => requestIds.includes(start.requestId)).length;
-            if (count > poisonStartsAtMost) {
-                found.push(`"${prompt.slice(0, 24).trim()}" was started ${count} times`);
+            if (count > maximumPoisonStarts) {
+                violations.push(`"${prompt.slice(0, 24).trim()}" was started ${count} times`);
             }
         }
-        return found;
+        return violations;
     }
 
-    private note(holds: boolean, violation: string): void {
+    private requireInvariant(holds: boolean, violation: string): void {
         if (!holds && !this.violations.includes(violation)) {
             this.violations.push(violation);
         }
--- a/__tests__/support/fleet.ts
+++ b/__tests__/support/fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet on real sockets in one process, for tests of the whole path. */
+/** A small fleet on real sockets in one process, for end-to-end tests. */
 import { readFileSync } from "node:fs";
 import {
     Entry,
@@ -20,7 +20,7 @@
 const anyPort = "127.0.0.1:0";
 const dataCentres = ["north", "east", "south"];
 
-/** What to start. */
+/** The size of the fleet. */
 export interface FleetPlan {
     entries?: number;
     engines?: number;
@@ -30,13 +30,13 @@
     bodyBytes?: number;
 }
 
-/** Everything that was started. */
+/** The processes of a running fleet. */
 export interface Fleet {
     platform: PlatformStandIn;
     engines: EngineStandIn[];
     services: ServiceStandIn[];
     entries: Entry[];
-    /** Runs of each key over all replicas of the plain services. */
+    /** Number of runs of each idempotency key over all replicas of the plain services. */
     runs: Map<string, number>;
     close(): Promise<void>;
 }
@@ -49,7 +49,7 @@
     + `[listen]\ncallers = ${anyPort}\npeers = ${anyPort}\noperators = ${anyPort}\n`
     + `[platform]\naddress = ${platform}\n[limits]\nbodyBytes = ${bodyBytes}\n`;
 
-/** Starts a fleet and waits until every entry has a report of every endpoint. */
+/** Starts a fleet and waits until every entry has received a report from every endpoint. */
 export const startFleet = async (plan: FleetPlan): Promise<Fleet> => {
     const random = seededRandom(7);
     const platform = await startPlatform(anyPort, systemClock, exampleObjects());
@@ -85,7 +85,7 @@
         const settings = parseSettings("test.ini", text, entrySettingsSchema);
         entries.push(await startEntry(settings, systemClock, random, true));
     }
-    await waitUntil(() => entries.every(entry => knowsAll(entry, engines.length + services.length)));
+    await waitUntil(() => entries.every(entry => hasAllReports(entry, engines.length + services.length)));
     return { platform, engines, services, entries, runs, close: () => closeAll(platform, engines, services, entries) };
 };
 
@@ -102,7 +102,7 @@
     platform.model.announce({ id, role, dataCentre, address, incarnation, state: InstanceState.Live, service });
 };
 
-const knowsAll = (entry: Entry, endpoints: number): boolean => {
+const hasAllReports = (entry: Entry, endpoints: number): boolean => {
     const known = entry.node.table.all().filter(endpoint => endpoint.report !== undefined);
     return entry.node.accepting && known.length === endpoints;
 };
@@ -118,7 +118,7 @@
     await platform.listener.close();
 };
 
-/** Waits for a condition; the test's own time limit ends a wait that never comes true. */
+/** Waits until `condition` holds; the test's timeout ends a wait for a condition that never holds. */
 export const waitUntil = async (condition: () => boolean): Promise<void> => {
     while (!condition()) {
         await systemClock.sleep(10);
--- a/__tests__/support/mechanisms.ts
+++ b/__tests__/support/mechanisms.ts
@@ -1,13 +1,16 @@
-/** Switches single mechanisms off, to show that the checks find what each one prevents. Tests only. */
+/**
+ * Disables single mechanisms of an entry by replacing their methods. Tests show with it that the oracle detects the failure
+ * that each mechanism prevents.
+ */
 import { ClaimProgress, Execution, FailureKind, HeldClaim, RequestFailure } from "../../src/internal.js";
 import { FakeEntry } from "./world.js";
 
 type Replacement = (...parameters: never[]) => unknown;
 
-/** Replaces one method of one object, private ones included. */
+/** Replaces one method of an object, which may be private. Throws if there is no such method. */
 const override = (target: object, method: string, replacement: Replacement): void => {
     if (!(method in target)) {
-        throw new Error(`there is no method ${method} to switch off`);
+        throw new Error(`there is no method ${method} to replace`);
     }
     Object.defineProperty(target, method, { value: replacement, configurable: true });
 };
@@ -16,17 +19,17 @@
     Object.defineProperty(target, property, { get: value, configurable: true });
 };
 
-const heldWithoutClaim = (): HeldClaim => ({ name: "", version: 0, value: {} as never });
+const emptyClaim = (): HeldClaim => ({ name: "", version: 0, value: {} as never });
 
-/** What can be switched off, by name. */
+/** Disables one mechanism of an entry, by the mechanism's name. */
 export const switchOff = {
     claims: (entry: FakeEntry): void => {
         const { claims } = entry.node;
-        override(claims, "claim", () => Promise.resolve({ type: "Held", claim: heldWithoutClaim() }));
+        override(claims, "claim", () => Promise.resolve({ type: "Held", claim: emptyClaim() }));
         override(claims, "keep", () => Promise.resolve());
         override(claims, "giveUp", () => Promise.resolve());
     },
-    /** Claims of silent holders are taken over, as by a lease that lapsed. */
+    /** Takes over the claims of unresponsive holders, as with an expired lease. */
     claimsStayWithHolder: (entry: FakeEntry): void => {
         override(entry.node.claims, "holderProgress", () => Promise.resolve(ClaimProgress.Released));
     },
@@ -37,7 +40,7 @@
             () => Promise.resolve(new RequestFailure(FailureKind.PlatformDown, Execution.NotRun, "outage", 1)),
         );
     },
-    /** Calls whose answer was lost are sent again, whatever they are. */
+    /** Retries calls whose response was lost, even if they aren't idempotent. */
     sentOnce: (entry: FakeEntry): void => {
         override(entry.node.serviceCalls, "checkRepeatable", () => undefined);
     },
@@ -110,5 +113,5 @@
     },
 } satisfies Record<string, (entry: FakeEntry) => void>;
 
-/** Names of the mechanisms. */
+/** Name of a mechanism that can be disabled. */
 export type Mechanism = keyof typeof switchOff;
--- a/__tests__/support/scenario.ts
+++ b/__tests__/support/scenario.ts
@@ -1,24 +1,24 @@
-/** Runs one scenario in a world on fake time, with every mechanism or with one switched off. */
+/** Runs one scenario in a simulated world on fake time, with all mechanisms or with one disabled. */
 import { vi } from "vitest";
 import { Callers } from "./callers.js";
 import { Mechanism, switchOff } from "./mechanisms.js";
-import { FakeEntry, useFakeTime, World, WorldPlan } from "./world.js";
+import { FakeEntry, useFakeTime, World, WorldOptions } from "./world.js";
 
-/** What a scenario acts on. */
+/** The world and the callers that a scenario acts on. */
 export interface Scene {
     world: World;
     callers: Callers;
-    /** Lets time pass and looks at what must hold at every moment. */
+    /** Advances fake time and checks the invariants at each step. */
     pass(milliseconds: number): Promise<void>;
     entry(index: number): FakeEntry;
 }
 
-const lookMilliseconds = 100;
-const quietMilliseconds = 60_000;
+const checkIntervalMilliseconds = 100;
+const quietDurationMilliseconds = 60_000;
 
-/** Runs `act` after the world has settled, heals everything, waits, and returns the violations. */
+/** Runs `act` in a settled world, then heals all faults, waits for a quiet period, and returns the violations. */
 export const play = async (
-    plan: Partial<WorldPlan>,
+    plan: Partial<WorldOptions>,
     act: (scene: Scene) => Promise<void>,
     without?: Mechanism,
 ): Promise<string[]> => {
@@ -32,17 +32,17 @@
     const world = new World({ seed: 1, ...plan, prepare });
     const callers = new Callers(world);
     const pass = async (milliseconds: number): Promise<void> => {
-        for (let passed = 0; passed < milliseconds; passed += lookMilliseconds) {
-            await world.advance(Math.min(lookMilliseconds, milliseconds - passed));
-            callers.look();
+        for (let passed = 0; passed < milliseconds; passed += checkIntervalMilliseconds) {
+            await world.advance(Math.min(checkIntervalMilliseconds, milliseconds - passed));
+            callers.checkInvariants();
         }
     };
     try {
         await world.settle();
         await act({ world, callers, pass, entry: index => world.entries[index]! });
         world.heal();
-        await pass(quietMilliseconds);
-        return callers.verdict(true);
+        await pass(quietDurationMilliseconds);
+        return callers.collectViolations(true);
     }
     finally {
         world.close();
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -1,6 +1,6 @@
 /**
- * Several entries, engines, services and a platform in one process on fake time. The fakes stand at the ports and use
- * the stand-ins' models; they can be cut, frozen, silenced and killed. There is no network and no scheduler here.
+ * Simulates entries, engines, services and a platform in one process on fake time. The fakes implement the ports with the
+ * stand-ins' models and can be partitioned, frozen, stalled and killed. There is no network, and time advances in steps.
  */
 import { vi } from "vitest";
 import {
@@ -46,67 +46,67 @@
 import { ServiceModel } from "../../src/standins/serviceModel.js";
 
 const stepMilliseconds = 5;
-const callMilliseconds = 1;
+const callLatencyMilliseconds = 1;
 const peerTimeoutMilliseconds = 800;
 const platformTimeoutMilliseconds = 1_000;
 const dataCentres = ["north", "east", "south"];
 const realImmediate = setImmediate;
 
-/** Begins fake time. Call before anything of the world is made. */
+/** Installs fake timers. Call it before creating the world. */
 export const useFakeTime = (): void => {
     vi.useFakeTimers({ toFake: ["setTimeout", "clearTimeout", "performance", "Date"], now: 1_800_000_000_000 });
 };
 
-/** Stops one process's progress: everything it waits for stays pending until it goes on. */
+/** Freezes one process: everything that it awaits stays pending until it is thawed. */
 export class Gate {
-    private blocked: Promise<void> | undefined;
-    private open: () => void = () => {};
+    private thawed: Promise<void> | undefined;
+    private resolveThawed: () => void = () => {};
 
     get frozen(): boolean {
-        return this.blocked !== undefined;
+        return this.thawed !== undefined;
     }
 
     freeze(): void {
-        this.blocked ??= new Promise(resolve => {
-            this.open = resolve;
+        this.thawed ??= new Promise(resolve => {
+            this.resolveThawed = resolve;
         });
     }
 
     thaw(): void {
-        this.blocked = undefined;
-        this.open();
+        this.thawed = undefined;
+        this.resolveThawed();
     }
 
-    async pass(): Promise<void> {
-        while (this.blocked) {
-            await this.blocked;
+    async waitUntilThawed(): Promise<void> {
+        while (this.thawed) {
+            await this.thawed;
         }
     }
 
-    /** Lets an outcome through only while the process runs. */
-    async through<Result>(work: Promise<Result>): Promise<Result> {
+    /** Delays the outcome of `work` while the process is frozen. */
+    async holdWhileFrozen<Result>(work: Promise<Result>): Promise<Result> {
         try {
             return await work;
         }
         finally {
-            await this.pass();
+            await this.waitUntilThawed();
         }
     }
 }
 
-/** One engine and what is wrong with the way to it. */
+/** One engine and the faults of its connections. */
 export class FakeEngine {
     readonly model: EngineModel;
     readonly gate = new Gate();
-    /** Grows when every open connection goes silent; new ones work. */
-    silence = 0;
-    /** Cancels that will be lost. */
+    /** Incremented to stall all open connections; new connections work. */
+    stallCount = 0;
+    /** Number of next releases that are lost. */
     lostReleases = 0;
-    /** Acceptances whose answer will be lost after the stream has started. */
+    /** Number of next acceptances that are lost after the stream has started. */
     lostAcceptances = 0;
-    /** Frames sent again behind their successors, as a late connection would. */
+    /** Whether each frame is sent a second time after its successor, as by a delayed connection. */
     repeatsFrames = false;
-    /** Request, sender and time of every start. */
+    /** Request, entry and time of every started run. */
     readonly starts: { requestId: string; entry: string; at: number; }[] = [];
 
     constructor(readonly record: InstanceRecord, shape: EngineShape, random: Random) {
@@ -115,7 +115,7 @@
     }
 }
 
-/** One replica of the plain service. */
+/** One replica of the plain service and its faults. */
 export class FakeService {
     readonly model: ServiceModel;
     readonly gate = new Gate();
@@ -129,7 +129,7 @@
     }
 }
 
-/** One entry with its own gate and its own cuts. */
+/** One entry with its gate and its faults. */
 export class FakeEntry {
     readonly gate = new Gate();
     readonly timeline: Timeline;
@@ -137,9 +137,9 @@
     alive = true;
     stopped = false;
     platformCut = false;
-    /** Set where a planned stop cuts what runs. */
+    /** Set when a planned stop aborts running requests. */
     cutsAtStop = false;
-    /** Set by tests to show what the deadline is for. */
+    /** Set by tests that disable deadlines. */
     ignoresDeadlines = false;
     frozenUntil = -Infinity;
 
@@ -149,9 +149,9 @@
         const clock: Clock = {
             now: systemClock.now,
             wallTime: systemClock.wallTime,
-            sleep: (duration, signal) => gate.through(systemClock.sleep(duration, signal)),
+            sleep: (duration, signal) => gate.holdWhileFrozen(systemClock.sleep(duration, signal)),
             after: (duration, action) =>
-                systemClock.after(duration, () => void gate.through(Promise.resolve()).then(action)),
+                systemClock.after(duration, () => void gate.holdWhileFrozen(Promise.resolve()).then(action)),
         };
         this.node = new EntryNode(
             { id, dataCentre: dataCentres[index % 3]!, peersAddress: id, seeds: world.seedsOf(id) },
@@ -181,16 +181,18 @@
     }
 
     write(kind: ObjectKind, name: string, expectedVersion: number, value: unknown): Promise<WriteOutcome> {
-        return this.change(() => this.world.platform.write(kind, name, expectedVersion, structuredClone(value)));
+        return this.callWithLostAnswers(() =>
+            this.world.platform.write(kind, name, expectedVersion, structuredClone(value))
+        );
     }
 
     remove(kind: ObjectKind, name: string, expectedVersion: number): Promise<WriteOutcome> {
-        return this.change(() => this.world.platform.write(kind, name, expectedVersion, undefined));
+        return this.callWithLostAnswers(() => this.world.platform.write(kind, name, expectedVersion, undefined));
     }
 
     async watch(kinds: readonly ObjectKind[], revision: number, signal: AbortSignal): Promise<ObjectPage> {
         await this.call(() => undefined);
-        const page = await this.entry.gate.through(this.world.platform.watch(kinds, revision, 5_000, signal));
+        const page = await this.entry.gate.holdWhileFrozen(this.world.platform.watch(kinds, revision, 5_000, signal));
         this.checkReachable();
         return structuredClone(page);
     }
@@ -205,32 +207,32 @@
 
     private checkReachable(): void {
         if (this.world.platform.faults.down || this.entry.platformCut) {
-            throw new PlatformError("down", false);
+            throw new PlatformError("the platform is down", false);
         }
     }
 
     private call<Result>(work: () => Result): Promise<Result> {
-        return this.entry.gate.through(this.attempt(work));
+        return this.entry.gate.holdWhileFrozen(this.attempt(work));
     }
 
     private async attempt<Result>(work: () => Result): Promise<Result> {
-        const slow = this.world.platform.faults.slowMilliseconds;
-        if (slow >= platformTimeoutMilliseconds) {
+        const delayMilliseconds = this.world.platform.faults.slowMilliseconds;
+        if (delayMilliseconds >= platformTimeoutMilliseconds) {
             await systemClock.sleep(platformTimeoutMilliseconds);
-            // It takes effect later, long after the caller has given up.
-            void systemClock.sleep(slow - platformTimeoutMilliseconds).then(work).catch(() => undefined);
-            throw new PlatformError("slow", true);
+            // The write takes effect later, after the caller has timed out.
+            void systemClock.sleep(delayMilliseconds - platformTimeoutMilliseconds).then(work).catch(() => undefined);
+            throw new PlatformError("the platform did not respond in time", true);
         }
-        await systemClock.sleep(callMilliseconds + slow);
+        await systemClock.sleep(callLatencyMilliseconds + delayMilliseconds);
         this.checkReachable();
         return structuredClone(work());
     }
 
-    private change(work: () => WriteOutcome): Promise<WriteOutcome> {
+    private callWithLostAnswers(work: () => WriteOutcome): Promise<WriteOutcome> {
         return this.call(() => {
             const outcome = work();
             if (this.world.chance(this.world.platform.faults.lostAnswers)) {
-                throw new PlatformError("the answer was lost", true);
+                throw new PlatformError("the response was lost", true);
             }
             return outcome;
         });
@@ -243,7 +245,7 @@
     report(address: string): Promise<EndpointReport> {
         const service = this.world.services.find(candidate => candidate.record.address === address);
         return service
-            ? this.entry.gate.through(serviceReport(service))
+            ? this.entry.gate.holdWhileFrozen(fetchServiceReport(service))
             : this.call(address, engine => engine.model.report());
     }
 
@@ -256,7 +258,7 @@
         const at = systemClock.now();
         const frames = await this.call(address, ({ model, starts }) => {
             if (signal.aborted) {
-                throw new EngineLostError("the caller went away", true);
+                throw new EngineLostError("the caller has disconnected", true);
             }
             const requestId = request.streamId.split(".")[0]!;
             const before = model.runs.get(requestId) ?? 0;
@@ -287,7 +289,7 @@
         return this.call(address, engine => {
             if (engine.lostReleases > 0) {
                 engine.lostReleases--;
-                throw new EngineLostError("the cancel was lost", true);
+                throw new EngineLostError("the release was lost", true);
             }
             engine.model.release(holdingId);
         });
@@ -303,8 +305,12 @@
 
     private call<Result>(address: string, work: (engine: FakeEngine) => Result): Promise<Result> {
         const engine = this.world.engine(address);
-        return this.entry.gate.through(
-            answered(engine.gate, () => work(engine), () => new EngineLostError("silent", true)),
+        return this.entry.gate.holdWhileFrozen(
+            callProcess(
+                engine.gate,
+                () => work(engine),
+                () => new EngineLostError("the engine did not respond in time", true),
+            ),
         );
     }
 
@@ -313,14 +319,14 @@
         frames: AsyncGenerator<EngineFrame, void>,
         signal: AbortSignal,
     ): AsyncGenerator<EngineFrame, void> {
-        const opened = engine.silence;
+        const opened = engine.stallCount;
         let earlier: EngineFrame | undefined;
         const aborted = new Promise<undefined>(resolve => signal.addEventListener("abort", () => resolve(undefined)));
         try {
             while (!signal.aborted) {
-                const next = await this.entry.gate.through(Promise.race([frames.next(), aborted]));
-                await engine.gate.pass();
-                if (engine.silence > opened) {
+                const next = await this.entry.gate.holdWhileFrozen(Promise.race([frames.next(), aborted]));
+                await engine.gate.waitUntilThawed();
+                if (engine.stallCount > opened) {
                     await aborted;
                     return;
                 }
@@ -340,35 +346,35 @@
     }
 }
 
-/** A call to a process that may be frozen: it is carried out when the process goes on, the caller waits a bound. */
-const answered = async <Result>(gate: Gate, work: () => Result, silent: () => Error): Promise<Result> => {
-    await systemClock.sleep(callMilliseconds);
-    const answer = gate.pass().then(work);
+/** Calls a process that may be frozen: the call runs once the process is thawed, but the caller times out before. */
+const callProcess = async <Result>(gate: Gate, work: () => Result, timeoutError: () => Error): Promise<Result> => {
+    await systemClock.sleep(callLatencyMilliseconds);
+    const answer = gate.waitUntilThawed().then(work);
     answer.catch(() => {});
-    const late = systemClock.sleep(peerTimeoutMilliseconds).then(() => {
-        throw silent();
+    const timeout = systemClock.sleep(peerTimeoutMilliseconds).then(() => {
+        throw timeoutError();
     });
-    late.catch(() => {});
-    return Promise.race([answer, late]);
+    timeout.catch(() => {});
+    return Promise.race([answer, timeout]);
 };
 
-const serviceReport = (service: FakeService): Promise<EndpointReport> =>
-    answered(service.gate, () => {
+const fetchServiceReport = (service: FakeService): Promise<EndpointReport> =>
+    callProcess(service.gate, () => {
         if (!service.model.isUp) {
-            throw new ServiceLostError("down", false);
+            throw new ServiceLostError("the service is down", false);
         }
         return service.model.report();
-    }, () => new ServiceLostError("silent", true));
+    }, () => new ServiceLostError("the service did not respond in time", true));
 
 class FakeServicePort implements ServicePort {
     constructor(private readonly world: World, private readonly entry: FakeEntry) {}
 
     report(address: string): Promise<EndpointReport> {
-        return this.entry.gate.through(serviceReport(this.world.service(address)));
+        return this.entry.gate.holdWhileFrozen(fetchServiceReport(this.world.service(address)));
     }
 
     call(address: string, request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
-        return this.entry.gate.through(this.attempt(this.world.service(address), request, signal));
+        return this.entry.gate.holdWhileFrozen(this.attempt(this.world.service(address), request, signal));
     }
 
     private async attempt(
@@ -376,28 +382,28 @@
         request: ServiceRequest,
         signal: AbortSignal,
     ): Promise<ServiceResponse> {
-        await systemClock.sleep(callMilliseconds);
+        await systemClock.sleep(callLatencyMilliseconds);
         if (signal.aborted) {
             throw new ServiceLostError("aborted before the connection", false);
         }
         if (!service.model.isUp || service.refusesConnections) {
-            throw new ServiceLostError("refused", false);
+            throw new ServiceLostError("the connection was refused", false);
         }
-        const cut = new Promise<never>((...[, reject]) => {
+        const aborted = new Promise<never>((...[, reject]) => {
             signal.addEventListener("abort", () => reject(new ServiceLostError("aborted", true)));
         });
-        return Promise.race([this.run(service, request), cut]);
+        return Promise.race([this.run(service, request), aborted]);
     }
 
     private async run(service: FakeService, request: ServiceRequest): Promise<ServiceResponse> {
         const at = systemClock.now();
-        await service.gate.pass();
+        await service.gate.waitUntilThawed();
         const { lifetime } = service.model;
         service.starts.push({ requestId: request.requestId, entry: this.entry.id, at });
         const answer = await service.model.call(request);
         if (service.lostAnswers > 0) {
             service.lostAnswers--;
-            throw new ServiceLostError("the answer was lost", true);
+            throw new ServiceLostError("the response was lost", true);
         }
         if (lifetime.aborted) {
             throw new ServiceLostError("the service died", true);
@@ -445,26 +451,30 @@
 
     private call<Result>(address: string, work: (node: EntryNode) => Result): Promise<Result> {
         const peer = this.world.entries.find(entry => entry.id === address && entry.alive);
-        if (!peer || this.world.isParted(this.entry.id, address)) {
-            return this.entry.gate.through(Promise.reject(new PeerLostError("no answer")));
+        if (!peer || this.world.isPartitioned(this.entry.id, address)) {
+            return this.entry.gate.holdWhileFrozen(Promise.reject(new PeerLostError("the peer is unreachable")));
         }
-        const answer = answered(peer.gate, () => structuredClone(work(peer.node)), () => new PeerLostError("silent"));
-        return this.entry.gate.through(answer);
+        const answer = callProcess(
+            peer.gate,
+            () => structuredClone(work(peer.node)),
+            () => new PeerLostError("the peer did not respond in time"),
+        );
+        return this.entry.gate.holdWhileFrozen(answer);
     }
 }
 
-/** Size of a world. */
-export interface WorldPlan {
+/** The seed and size of a world. */
+export interface WorldOptions {
     seed: number;
     entries?: number;
     engines?: number;
     services?: number;
     shape?: Partial<EngineShape>;
-    /** Called with each entry before it starts: tests switch single mechanisms off with it. */
+    /** Called with each entry before it starts, to disable single mechanisms. */
     prepare?: (entry: FakeEntry) => void;
 }
 
-/** Small sizes, so that every limit is met. */
+/** Small sizes, so that scenarios reach every limit. */
 const smallShape: EngineShape = {
     ...defaultEngineShape,
     memoryTokens: 4_000,
@@ -473,7 +483,7 @@
     startWarm: true,
 };
 
-const objectsOfWorld: [ObjectKind, string, unknown][] = [
+const initialObjects: [ObjectKind, string, unknown][] = [
     [ObjectKind.Profile, "models", { shortPromptTokens: 500, longTokensInFlight: 3_000, maximumAnswerTokens: 200 }],
     [ObjectKind.Profile, "bookings", { nonIdempotentRoutes: [{ method: "POST", path: "/places" }] }],
     [ObjectKind.Service, "standin", { kind: "model", profile: "models", gangSize: 2 }],
@@ -481,21 +491,21 @@
     [ObjectKind.Customer, "hartwell", { keyHashes: [fingerprint("hartwell")], weight: 1 }],
 ];
 
-/** Everything outside the entries, and the entries. */
+/** The entries, their environment, and the faults between them. */
 export class World {
     readonly platform = new PlatformModel(systemClock);
     readonly engines: FakeEngine[] = [];
     readonly services: FakeService[] = [];
     readonly entries: FakeEntry[] = [];
-    /** Runs of each key over all replicas of the plain service. */
+    /** Number of runs of each idempotency key over all replicas of the plain service. */
     readonly runs = new Map<string, number>();
     private readonly random: Random;
-    private readonly parted = new Set<string>();
-    private entriesMade = 0;
+    private readonly partitionedPairs = new Set<string>();
+    private createdEntryCount = 0;
 
-    constructor(readonly plan: WorldPlan) {
+    constructor(readonly plan: WorldOptions) {
         this.random = seededRandom(plan.seed);
-        for (const [kind, name, value] of objectsOfWorld) {
+        for (const [kind, name, value] of initialObjects) {
             this.platform.write(kind, name, absentVersion, value);
         }
         for (let index = 0; index < (plan.engines ?? 4); index++) {
@@ -525,17 +535,17 @@
         return this.services.find(candidate => candidate.record.address === address)!;
     }
 
-    /** Peers that an entry's settings name. */
+    /** IDs of the seed peers in an entry's settings. */
     seedsOf(id: string): string[] {
         return this.entries.map(entry => entry.id).filter(other => other !== id);
     }
 
-    /** Adds a new entry, or a new process for an instance that died. */
-    addEntry(id = `entry-${++this.entriesMade}`): FakeEntry {
+    /** Starts a new entry, or a new process for the entry with the given ID. */
+    addEntry(id = `entry-${++this.createdEntryCount}`): FakeEntry {
         const entry = new FakeEntry(id, this, Number(id.split("-")[1]) - 1);
-        const former = this.entries.findIndex(candidate => candidate.id === id);
-        if (former >= 0) {
-            this.entries.splice(former, 1);
+        const previousIndex = this.entries.findIndex(candidate => candidate.id === id);
+        if (previousIndex >= 0) {
+            this.entries.splice(previousIndex, 1);
         }
         this.entries.push(entry);
         this.plan.prepare?.(entry);
@@ -543,7 +553,7 @@
         return entry;
     }
 
-    /** Ends an entry's process at once. */
+    /** Kills an entry's process. */
     kill(entry: FakeEntry): void {
         entry.alive = false;
         entry.gate.freeze();
@@ -559,26 +569,26 @@
         entry.gate.thaw();
     }
 
-    /** Cuts or heals the way between two entries. */
-    part(first: string, second: string, apart: boolean): void {
+    /** Creates or heals a network partition between two entries. */
+    setPartitioned(first: string, second: string, isPartitioned: boolean): void {
         for (const pair of [`${first}/${second}`, `${second}/${first}`]) {
-            if (apart) {
-                this.parted.add(pair);
+            if (isPartitioned) {
+                this.partitionedPairs.add(pair);
             }
             else {
-                this.parted.delete(pair);
+                this.partitionedPairs.delete(pair);
             }
         }
     }
 
-    isParted(first: string, second: string): boolean {
-        return this.parted.has(`${first}/${second}`);
+    isPartitioned(first: string, second: string): boolean {
+        return this.partitionedPairs.has(`${first}/${second}`);
     }
 
-    /** Heals everything that can be healed. */
+    /** Ends all faults, except for killed entries. */
     heal(): void {
         Object.assign(this.platform.faults, { down: false, slowMilliseconds: 0, lostAnswers: 0, silentWatches: false });
-        this.parted.clear();
+        this.partitionedPairs.clear();
         for (const engine of this.engines) {
             engine.gate.thaw();
             engine.lostReleases = 0;
@@ -599,7 +609,7 @@
         }
     }
 
-    /** Lets time pass. */
+    /** Advances fake time in steps. */
     async advance(milliseconds: number): Promise<void> {
         for (let passed = 0; passed < milliseconds; passed += stepMilliseconds) {
             vi.advanceTimersByTime(stepMilliseconds);
@@ -607,7 +617,7 @@
         }
     }
 
-    /** Lets time pass until `condition` holds, at most `limit` milliseconds; returns whether it held. */
+    /** Advances fake time until `condition` holds, by at most `limit` milliseconds; returns whether it holds. */
     async advanceUntil(condition: () => boolean, limit: number): Promise<boolean> {
         for (let passed = 0; passed < limit && !condition(); passed += stepMilliseconds) {
             await this.advance(stepMilliseconds);
@@ -615,12 +625,12 @@
         return condition();
     }
 
-    /** Lets the entries find one another, the endpoints and their homes. */
+    /** Advances fake time until the entries have discovered one another and the endpoints, and homes are assigned. */
     settle(): Promise<void> {
         return this.advance(6_000);
     }
 
-    /** Ends every process. */
+    /** Kills every entry. */
     close(): void {
         for (const entry of this.entries) {
             this.kill(entry);
@@ -640,7 +650,7 @@
     }
 
     private record(id: string, role: InstanceRole, index: number, service: string): InstanceRecord {
-        // Engines stand in pairs, so that each data centre can form a gang.
+        // Engines are assigned to data centres in pairs, so that each data centre can form a gang.
         const dataCentre = dataCentres[(role === InstanceRole.Engine ? Math.floor(index / 2) : index) % 3]!;
         return { id, role, dataCentre, address: id, incarnation: "", state: InstanceState.Live, service };
     }
--- a/__tests__/wholePath.test.ts
+++ b/__tests__/wholePath.test.ts
@@ -1,4 +1,4 @@
-/** The whole path over real sockets, with the unchanged `openai` client as caller. */
+/** End-to-end tests over real sockets, with the unmodified `openai` client as the caller. */
 import OpenAI from "openai";
 import { afterAll, beforeAll, expect, test } from "vitest";
 import { expectedAnswer } from "../src/standins/answer.js";
