--- a/src/adapters/operatorServer.ts
+++ b/src/adapters/operatorServer.ts
@@ -51,7 +51,7 @@
     platformDown: node.health.down,
     configurationRevision: node.configuration.revision,
     activeRequests: node.activeRequests,
-    waitingRequests: node.placer.waiting(),
+    waitingRequests: node.placer.waitingCount(),
     provisionalOuts: node.restrictions.pending(),
     peers: node.membership.peers().map(peer => ({
         id: peer.record.id,
@@ -73,7 +73,7 @@
 const sendMetrics = (node: EntryNode, response: ServerResponse): void => {
     const text = node.metrics.text({
         active_requests: node.activeRequests,
-        waiting_requests: node.placer.waiting(),
+        waiting_requests: node.placer.waitingCount(),
         configuration_revision: node.configuration.revision,
         platform_down: node.health.down ? 1 : 0,
         engine_holdings: node.holdings.count,
--- a/src/core/coldStart.ts
+++ b/src/core/coldStart.ts
@@ -64,7 +64,7 @@
     /** Grants a permit to this entry as the endpoint's home; undefined if it isn't the home or the endpoint has no capacity. */
     grantLocally(endpoint: Endpoint, permitId: string, suspect: boolean): Permit | undefined {
         const permit = this.createPermit(endpoint, this.dependencies.self, permitId, suspect);
-        return this.grant(endpoint, this.requestOf(permit)) === PermitDecision.Granted ? permit : undefined;
+        return this.grant(endpoint, this.toPermitRequest(permit)) === PermitDecision.Granted ? permit : undefined;
     }
 
     /** Requests a permit from the endpoint's home; undefined if the home denies the request or doesn't respond. */
@@ -76,7 +76,10 @@
         }
         const permit = this.createPermit(endpoint, home, permitId, suspect);
         try {
-            const decision = await this.dependencies.peers.requestPermit(peer.record.address, this.requestOf(permit));
+            const decision = await this.dependencies.peers.requestPermit(
+                peer.record.address,
+                this.toPermitRequest(permit),
+            );
             return decision === PermitDecision.Granted ? permit : undefined;
         }
         catch (error) {
@@ -97,7 +100,7 @@
 
     /** Returns a permit to its home. */
     async release(permit: Permit): Promise<void> {
-        const request = this.requestOf(permit);
+        const request = this.toPermitRequest(permit);
         if (permit.home === this.dependencies.self) {
             this.handleReturn(request);
             return;
@@ -130,7 +133,7 @@
 
     /** Number of further requests that the home may permit on a cold endpoint. */
     remainingColdCapacity(endpoint: Endpoint): number {
-        const usedSlots = Math.max(this.unexpiredPermits(endpoint).size, endpoint.report?.running ?? 0);
+        const usedSlots = Math.max(this.pruneExpiredPermits(endpoint).size, endpoint.report?.running ?? 0);
         return this.dependencies.profileFor(endpoint).coldConcurrency - usedSlots;
     }
 
@@ -140,7 +143,7 @@
         return { permitId, endpoint: endpoint.id, suspect, cold, home, sendBefore: now + permitSendMilliseconds };
     }
 
-    private requestOf({ endpoint, permitId, suspect, cold }: Permit): PermitRequest {
+    private toPermitRequest({ endpoint, permitId, suspect, cold }: Permit): PermitRequest {
         return { instance: this.dependencies.self, endpoint, permitId, suspect, cold };
     }
 
@@ -154,7 +157,7 @@
         if (!this.dependencies.isStateFresh() || !this.dependencies.homes.mayAct(endpoint.id) || trust === "Closed") {
             return PermitDecision.Denied;
         }
-        const permitExpiries = this.unexpiredPermits(endpoint);
+        const permitExpiries = this.pruneExpiredPermits(endpoint);
         if (permitExpiries.has(permitId)) {
             return PermitDecision.Granted;
         }
@@ -172,7 +175,7 @@
     }
 
     /** Removes the expired permits of an endpoint and returns the others with their expiry times. */
-    private unexpiredPermits(endpoint: Endpoint): Map<string, Milliseconds> {
+    private pruneExpiredPermits(endpoint: Endpoint): Map<string, Milliseconds> {
         let permits = this.permitExpiriesByEndpoint.get(endpoint.id);
         if (!permits) {
             permits = new Map();
--- a/src/core/endpoints.ts
+++ b/src/core/endpoints.ts
@@ -19,7 +19,7 @@
 export const reportIntervalMilliseconds = 400;
 /** An endpoint whose report is older than this is treated as cold. */
 export const maximumReportAgeMilliseconds = 2_500;
-/** Maximum lag of a report; after a suspicion, only a report requested later than this reopens the endpoint. */
+/** Maximum lag of a report behind the endpoint's state; a suspicion outlasts reports that were requested sooner after it. */
 export const maximumReportLagMilliseconds = 600;
 
 /** How much load an endpoint can be trusted with. */
@@ -28,7 +28,7 @@
     | { type: "Warm"; }
     /** The endpoint is in cold start or has no current report: a request needs a permit from its home. */
     | { type: "Cold"; }
-    /** The endpoint has just failed or refused work: nothing is sent to it until a later report. */
+    /** The endpoint has just failed or refused work: this entry sends nothing to it until a later report arrives. */
     | { type: "Closed"; };
 
 /** One attempt in flight on an endpoint. */
@@ -164,7 +164,7 @@
         this.changed.notify();
     }
 
-    /** Closes an endpoint until a report that is requested after the suspicion. */
+    /** Closes an endpoint until a report is requested at least the maximum report lag after this suspicion. */
     suspect(endpoint: Endpoint, reason: string): void {
         endpoint.suspectedAt = this.dependencies.clock.now();
         this.dependencies.log.warn("An endpoint was closed on suspicion.", { endpoint: endpoint.id, reason });
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -181,7 +181,7 @@
             state: this.state,
             configurationRevision: this.configuration.loaded ? this.configuration.revision : 0,
             provisionalOuts: this.restrictions.pending(),
-            suspects: this.suspects.updates(),
+            suspects: this.suspects.collectUpdates(),
             homesVersion: this.homes.tableVersion,
             platformDown: this.health.down,
         };
--- a/src/core/gangs.ts
+++ b/src/core/gangs.ts
@@ -97,7 +97,7 @@
                 const detail = "no gang of engines had enough free memory before the deadline";
                 throw new RequestFailure(FailureKind.Overloaded, Execution.NotRun, detail, 10);
             }
-            for (const gang of this.candidateGangs(work, service, avoidedEndpoints)) {
+            for (const gang of this.findCandidates(work, service, avoidedEndpoints)) {
                 const placement = await this.reserve(work, gang);
                 if (placement) {
                     return placement;
@@ -129,7 +129,7 @@
         }
     }
 
-    private candidateGangs(work: Work, service: Service, avoidedEndpoints: ReadonlySet<string>): Endpoint[][] {
+    private findCandidates(work: Work, service: Service, avoidedEndpoints: ReadonlySet<string>): Endpoint[][] {
         const gangs = formGangs(this.dependencies.table.ofService(work.service), service.gangSize);
         const usableGangs = gangs.filter(gang => this.isUsable(gang));
         const untried = usableGangs.filter(gang => !gang.some(member => avoidedEndpoints.has(member.id)));
--- a/src/core/generation.ts
+++ b/src/core/generation.ts
@@ -1,7 +1,7 @@
 /**
  * Runs generations from placement to the last token. When a connection to an engine fails or stalls, the entry resumes the
- * stream over a new connection; when the engine or the stream is lost, it retries on another engine behind the tokens that
- * the caller already has.
+ * stream over a new connection. When the engine or the stream is lost, the entry retries on another engine, starting after
+ * the tokens that the caller already has.
  */
 import {
     Clock,
@@ -151,8 +151,8 @@
     private async findTarget(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
         try {
             return this.dependencies.gangs.isNeededFor(request.work)
-                ? await this.targetGang(request, progress)
-                : await this.targetEndpoint(request, progress);
+                ? await this.placeOnGang(request, progress)
+                : await this.placeOnEndpoint(request, progress);
         }
         catch (error) {
             if (error instanceof RequestFailure && progress.mayHaveRun) {
@@ -163,12 +163,12 @@
         }
     }
 
-    private async targetEndpoint(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
+    private async placeOnEndpoint(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
         const placement = await this.dependencies.scheduler.place(request.work, progress.avoidedEndpoints);
         return { ...placement, members: [placement.endpoint] };
     }
 
-    private async targetGang(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
+    private async placeOnGang(request: GenerationRequest, progress: RequestProgress): Promise<AttemptTarget> {
         const gang = await this.dependencies.gangs.place(request.work, request.service, progress.avoidedEndpoints);
         return {
             endpoint: gang.leader,
@@ -465,7 +465,7 @@
         progress.lossCount++;
         if (progress.lossCount >= maximumLosses || !this.dependencies.retries.tryTakeRetry()) {
             const execution = progress.mayHaveRun ? Execution.Ran : Execution.NotRun;
-            const detail = "the attempts failed and no further retry is allowed";
+            const detail = "the attempts failed, and the retry limit or the retry budget is exhausted";
             throw new RequestFailure(FailureKind.RetriesExhausted, execution, detail, 2);
         }
     }
--- a/src/core/requestScheduler.ts
+++ b/src/core/requestScheduler.ts
@@ -73,7 +73,7 @@
     }
 
     /** Number of requests in all queues. */
-    waiting(): number {
+    waitingCount(): number {
         let count = 0;
         for (const queue of this.queueByService.values()) {
             count += queue.length;
@@ -170,7 +170,7 @@
         return bestFirstToken === Infinity ? 0 : bestFirstToken;
     }
 
-    private candidateEndpoints(work: Work, avoidedEndpoints: ReadonlySet<string>): Endpoint[] {
+    private findCandidates(work: Work, avoidedEndpoints: ReadonlySet<string>): Endpoint[] {
         const eligible = this.dependencies.table.eligible(work.service);
         const untried = eligible.filter(endpoint => !avoidedEndpoints.has(endpoint.id));
         return this.preferOtherDataCentres(untried.length > 0 ? untried : eligible, avoidedEndpoints);
@@ -195,7 +195,7 @@
         if (!this.dependencies.guard.fresh()) {
             return undefined;
         }
-        const candidates = this.candidateEndpoints(work, avoidedEndpoints);
+        const candidates = this.findCandidates(work, avoidedEndpoints);
         const isSuspect = this.dependencies.suspects.isSuspect(work.fingerprint);
         const warmEndpoints: Endpoint[] = [];
         for (const endpoint of candidates) {
@@ -278,7 +278,7 @@
         if (!this.dependencies.guard.fresh()) {
             return undefined;
         }
-        const candidates = this.candidateEndpoints(work, avoidedEndpoints);
+        const candidates = this.findCandidates(work, avoidedEndpoints);
         const isSuspect = this.dependencies.suspects.isSuspect(work.fingerprint);
         const warmEndpoints = candidates.filter(endpoint => this.dependencies.table.trust(endpoint).type === "Warm");
         if (warmEndpoints.length > 0 && !isSuspect) {
--- a/src/core/suspects.ts
+++ b/src/core/suspects.ts
@@ -6,7 +6,9 @@
 
 /** Number of unresolved crashes from which a request is rejected. */
 export const crashesUntilRejection = 2;
+/** A suspect expires this long after its last crash. */
 const suspectLifetimeMilliseconds = 15 * 60_000;
+/** Maximum number of suspects in one heartbeat. */
 const maximumPublishedSuspects = 64;
 
 /** The state of a suspect as entries exchange it. */
@@ -91,7 +93,7 @@
     }
 
     /** The most recent suspects that haven't expired, to publish to peers. */
-    updates(): SuspectUpdate[] {
+    collectUpdates(): SuspectUpdate[] {
         const now = this.clock.now();
         const updates: SuspectUpdate[] = [];
         for (const [fingerprint, suspect] of [...this.suspectByFingerprint].reverse()) {
