--- a/src/adapters/callers/serviceRoutes.ts
+++ b/src/adapters/callers/serviceRoutes.ts
@@ -47,7 +47,7 @@
     const deadline = callerDeadline(node, exchange, profile);
     const body = await readCallerBody(exchange, maximumBodyBytes);
     node.ports.timeline.record("callers", "admitted", exchange.requestId, `${method} ${serviceName}${path}`);
-    const { answer, replayed } = await node.serviceCalls.run({
+    const { response, replayed } = await node.serviceCalls.run({
         nonIdempotent,
         request: {
             method,
@@ -72,7 +72,7 @@
             signal: exchange.signal,
         },
     });
-    sendResponse(exchange, answer, replayed);
+    sendResponse(exchange, response, replayed);
 };
 
 const sendResponse = (
--- a/src/adapters/operatorServer.ts
+++ b/src/adapters/operatorServer.ts
@@ -54,7 +54,7 @@
     platformDown: node.health.isDown,
     configurationRevision: node.configuration.revision,
     activeRequests: node.activeRequests,
-    waitingRequests: node.placer.waiting(),
+    waitingRequests: node.placer.waitingCount(),
     provisionalOuts: node.restrictions.pending(),
     peers: node.membership.peers().map(peer => ({
         id: peer.record.id,
@@ -76,7 +76,7 @@
 const sendMetrics = (node: EntryNode, response: ServerResponse): void => {
     const text = node.metrics.text({
         active_requests: node.activeRequests,
-        waiting_requests: node.placer.waiting(),
+        waiting_requests: node.placer.waitingCount(),
         configuration_revision: node.configuration.revision,
         platform_down: node.health.isDown ? 1 : 0,
         engine_holdings: node.holdings.count,
--- a/src/core/homes.ts
+++ b/src/core/homes.ts
@@ -24,9 +24,9 @@
 /** Shortest time between two confirmations of the table; a random delay is added. */
 export const homeConfirmIntervalMilliseconds = 800;
 /** A permit is valid for this long after it was requested. */
-export const permitLifetimeMilliseconds = 1_000;
+export const permitSendTimeoutMilliseconds = 1_000;
 /** How long a new home waits until the previous home's lease and the permits that it granted have expired. */
-export const handoverDelayMilliseconds = homeLeaseDurationMilliseconds + permitLifetimeMilliseconds;
+export const handoverDelayMilliseconds = homeLeaseDurationMilliseconds + permitSendTimeoutMilliseconds;
 /** A member that has been unresponsive for this long is removed from the table. */
 const memberTimeoutMilliseconds = 4_000;
 
