--- a/__tests__/forwarding/placers.test.ts
+++ b/__tests__/forwarding/placers.test.ts
@@ -2,9 +2,9 @@
 import path from "node:path";
 import { expect, test } from "vitest";
 import { choosePlacers, type PlacerCandidate, PlacerRoster } from "../../src/core/membership/placers.js";
-import { FaultKind, type Pattern, readPattern } from "../../src/replay/pattern.js";
+import { FaultType, type Pattern, readPattern } from "../../src/replay/pattern.js";
 import { replay, type ReplayResult } from "../../src/replay/replay.js";
-import { replayReport } from "../../src/replay/replayReport.js";
+import { createReplayReport } from "../../src/replay/replayReport.js";
 import type { Clock } from "../../src/utils/clock.js";
 
 const candidate = (index: number, changes: Partial<PlacerCandidate> = {}): PlacerCandidate => ({
@@ -67,12 +67,12 @@
 
 const refused = ({ records }: ReplayResult): number => records.filter(({ outcome }) => outcome === "refused").length;
 
-const share = (result: ReplayResult): number => replayReport([result]).share;
+const share = (result: ReplayResult): number => createReplayReport([result]).share;
 
 test("entries that hear nothing of one another serve all the same", async () => {
     // Guards against requests that are refused or failed because nobody chooses for them.
     const pattern = shortMix();
-    const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: undefined, strength: 1 };
+    const cut = { type: FaultType.EntriesPartitioned, at: 2, seconds: 4, share: 1, dataCentre: undefined, strength: 1 };
     const result = await replay({ ...pattern, fault: { cut } }, { seed: 1 });
     const silences = result.lines.filter(({ message }) => message.startsWith("placing: An entry that chooses"));
     expect(silences.length).toBeGreaterThan(10);
@@ -83,7 +83,7 @@
 test("entries of one data centre cut off", async () => {
     // Guards against a cut that costs more than the requests of the entries that are cut off.
     const pattern = shortMix();
-    const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: "1", strength: 1 };
+    const cut = { type: FaultType.EntriesPartitioned, at: 2, seconds: 4, share: 1, dataCentre: "1", strength: 1 };
     const [whole, part] = [
         await replay(pattern, { seed: 1 }),
         await replay({ ...pattern, fault: { cut } }, { seed: 1 }),
--- a/__tests__/forwarding/replay.test.ts
+++ b/__tests__/forwarding/replay.test.ts
@@ -3,9 +3,9 @@
 import { expect, test } from "vitest";
 import { type Pattern, readPattern } from "../../src/replay/pattern.js";
 import { replay, type ReplayOptions, type ReplayResult } from "../../src/replay/replay.js";
-import { replayArrivals } from "../../src/replay/replayArrivals.js";
-import { replayReport } from "../../src/replay/replayReport.js";
-import type { ReplayLine } from "../../src/replay/simulatedEntries.js";
+import { generateReplayArrivals } from "../../src/replay/replayArrivals.js";
+import { createReplayReport } from "../../src/replay/replayReport.js";
+import type { ReplayLogLine } from "../../src/replay/simulatedEntries.js";
 import { PlacementPolicy } from "../../src/types/routing.js";
 
 const patternOf = (name: string): Pattern =>
@@ -22,7 +22,7 @@
 };
 
 const inTime = (results: readonly ReplayResult[], kind: string): number => {
-    const row = replayReport(results).kinds.find(found => found.kind === kind)!;
+    const row = createReplayReport(results).kinds.find(found => found.kind === kind)!;
     return row.outcomes["in time"] / row.requests;
 };
 
@@ -60,13 +60,13 @@
     // then, and long ones wait for one another.
     const results = await playAll("turning-mix");
     expect(inTime(results, "short")).toBeGreaterThan(0.95);
-    expect(replayReport(results).share).toBeGreaterThan(0.9);
+    expect(createReplayReport(results).share).toBeGreaterThan(0.9);
 });
 
 test("mix that turns over, placed by counts", async () => {
     // Guards against a pattern that any placing would serve.
     const counted = await playAll("turning-mix", { policy: PlacementPolicy.LeastOutstanding });
-    expect(replayReport(counted).share).toBeLessThan(0.85);
+    expect(createReplayReport(counted).share).toBeLessThan(0.85);
 });
 
 test("data centre lost when the mix turns over", async () => {
@@ -120,16 +120,18 @@
     // Guards against a comparison of two days that differ by more than the rush.
     const pattern = patternOf("one-customer-rushes");
     const others = (played: Pattern) =>
-        replayArrivals(played, 1).filter(({ customer }) => customer !== "customer-2").map(({ at, kind }) => ({
+        generateReplayArrivals(played, 1).filter(({ customer }) => customer !== "customer-2").map(({ at, kind }) => ({
             at,
             kind,
         }));
     expect(others(pattern)).toEqual(others({ ...pattern, rush: {} }));
-    expect(replayArrivals(pattern, 1).length).toBeGreaterThan(replayArrivals({ ...pattern, rush: {} }, 1).length + 100);
+    expect(generateReplayArrivals(pattern, 1).length).toBeGreaterThan(
+        generateReplayArrivals({ ...pattern, rush: {} }, 1).length + 100,
+    );
 });
 
 /** Streams that were cut for `reason`. */
-const cutsFor = (results: readonly ReplayResult[], reason: RegExp): ReplayLine[] =>
+const cutsFor = (results: readonly ReplayResult[], reason: RegExp): ReplayLogLine[] =>
     results.flatMap(({ lines }) =>
         lines.filter(({ message, fields }) =>
             message === "request: A stream was cut." && reason.test(String(fields.reason))
--- a/__tests__/losses.test.ts
+++ b/__tests__/losses.test.ts
@@ -3,10 +3,10 @@
 import { tmpdir } from "node:os";
 import path from "node:path";
 import { expect, test } from "vitest";
-import { readLogs } from "../src/losses/logFiles.js";
-import { lossesOf, LossReason } from "../src/losses/reasons.js";
-import { type LogLine, storiesOf } from "../src/losses/stories.js";
-import { lossTable, lossText } from "../src/losses/table.js";
+import { readLogFiles } from "../src/losses/logFiles.js";
+import { findLosses, LossReason } from "../src/losses/reasons.js";
+import { buildTraces, type LogLine } from "../src/losses/requestTraces.js";
+import { createLossTable, formatLossTable } from "../src/losses/table.js";
 
 const line = (time: number, message: string, fields: Record<string, unknown>): LogLine => ({
     time,
@@ -31,38 +31,38 @@
 const streamed = (firstEventAfter: number, longestPause = 50, fields: Record<string, unknown> = {}): LogLine =>
     line(firstEventAfter + 1_000, "Streamed.", { firstEventAfter, longestPause, ...fields });
 
-const reasonOf = (...lines: LogLine[]): LossReason | undefined => lossesOf(storiesOf(lines))[0]?.reason;
+const reasonOf = (...lines: LogLine[]): LossReason | undefined => findLosses(buildTraces(lines))[0]?.reason;
 
 test("answer in time lost nothing", () => {
     expect(reasonOf(sent(0), streamed(200))).toBeUndefined();
 });
 
 test("late first event, by what was predicted", () => {
-    expect(reasonOf(sent(0, { predicted: 900, slotWait: 700 }), streamed(900))).toBe(LossReason.Slot);
-    expect(reasonOf(sent(0, { predicted: 900, readWait: 700 }), streamed(900))).toBe(LossReason.Reads);
-    expect(reasonOf(sent(0, { predicted: 900 }), streamed(900))).toBe(LossReason.OwnRead);
-    expect(reasonOf(sent(0), streamed(900))).toBe(LossReason.Unforeseen);
+    expect(reasonOf(sent(0, { predicted: 900, slotWait: 700 }), streamed(900))).toBe(LossReason.SlotWait);
+    expect(reasonOf(sent(0, { predicted: 900, readWait: 700 }), streamed(900))).toBe(LossReason.PrefillWait);
+    expect(reasonOf(sent(0, { predicted: 900 }), streamed(900))).toBe(LossReason.OwnPrefill);
+    expect(reasonOf(sent(0), streamed(900))).toBe(LossReason.Unpredicted);
 });
 
 test("late behind a long read that wasn't foreseen", () => {
     const long = { requestId: "long", promptTokens: 200_000, endpoint: "e-2", helpers: ["e-1"], predicted: 2_000 };
     const lines = [sent(0, long), streamed(2_000, 50, { requestId: "long" }), sent(100), streamed(900)];
-    const losses = lossesOf(storiesOf(lines)).filter(({ story }) => story.id === "r");
-    expect(losses.map(({ reason }) => reason)).toEqual([LossReason.UnforeseenReads]);
+    const losses = findLosses(buildTraces(lines)).filter(({ trace }) => trace.id === "r");
+    expect(losses.map(({ reason }) => reason)).toEqual([LossReason.UnpredictedPrefillWait]);
 });
 
 test("pauses, repeats, memory and refusals", () => {
-    expect(reasonOf(sent(0), streamed(200, 400))).toBe(LossReason.Pause);
-    expect(reasonOf(sent(0), sent(500), streamed(200, 400))).toBe(LossReason.PauseAfterLoss);
-    expect(reasonOf(sent(0), sent(500), streamed(900))).toBe(LossReason.Lost);
-    expect(reasonOf(line(0, "Memory can't be set aside.", {}), sent(500), streamed(900))).toBe(LossReason.Memory);
-    expect(reasonOf(line(0, "A request failed.", { kind: "overloaded" }))).toBe(LossReason.Refused);
+    expect(reasonOf(sent(0), streamed(200, 400))).toBe(LossReason.LongGap);
+    expect(reasonOf(sent(0), sent(500), streamed(200, 400))).toBe(LossReason.LongGapAfterLoss);
+    expect(reasonOf(sent(0), sent(500), streamed(900))).toBe(LossReason.EndpointLost);
+    expect(reasonOf(line(0, "Memory can't be set aside.", {}), sent(500), streamed(900))).toBe(LossReason.MemoryWait);
+    expect(reasonOf(line(0, "A request failed.", { kind: "overloaded" }))).toBe(LossReason.Overloaded);
     expect(reasonOf(line(0, "A request failed.", { kind: "no-endpoint" }))).toBe(LossReason.NoEndpoint);
     expect(reasonOf(sent(0))).toBe(LossReason.EntryEnded);
 });
 
 test("faults of callers aren't losses", () => {
-    expect(storiesOf([line(0, "A request failed.", { kind: "unknown-route" })])).toEqual([]);
+    expect(buildTraces([line(0, "A request failed.", { kind: "unknown-route" })])).toEqual([]);
 });
 
 test("table adds up by reason and by time", () => {
@@ -70,11 +70,11 @@
         { ...sent(0, { requestId: id }), time },
         { ...streamed(900, 50, { requestId: id }), time: time + 1_900 },
     ];
-    const table = lossTable(storiesOf([...at(0, "a"), ...at(100, "b"), ...at(5_000, "c")]), 2_000);
+    const table = createLossTable(buildTraces([...at(0, "a"), ...at(100, "b"), ...at(5_000, "c")]), 2_000);
     expect(table.requests).toBe(3);
-    expect(table.reasons).toEqual([{ reason: LossReason.Unforeseen, requests: 3, share: 0.75 }]);
+    expect(table.reasons).toEqual([{ reason: LossReason.Unpredicted, requests: 3, share: 0.75 }]);
     expect(table.spans.map(({ from }) => from)).toEqual([0, 4_000]);
-    expect(lossText(table)).toContain("75.0%     3 later than predicted");
+    expect(formatLossTable(table)).toContain("75.0%     3 later than predicted");
 });
 
 test("logs of several entries, with lines that are none of theirs", () => {
@@ -90,7 +90,7 @@
             "{ broken",
         ].join("\n"),
     );
-    const { lines, skipped, dropped } = readLogs([file]);
+    const { lines, skipped, dropped } = readLogFiles([file]);
     expect(lines.map(({ time }) => time)).toEqual([0, 500]);
     expect({ skipped, dropped }).toEqual({ skipped: 2, dropped: 7 });
 });
--- a/__tests__/timeline.test.ts
+++ b/__tests__/timeline.test.ts
@@ -1,6 +1,6 @@
 /** One time line over processes whose clocks disagree. */
 import { expect, test } from "vitest";
-import { collect, merge, timelineHtml, timelineText } from "../src/commands/timelineMerge.js";
+import { collectPage, formatTimelineHtml, formatTimelineText, mergePages } from "../src/commands/timelineMerge.js";
 import { Clock, listen, sendJson, Timeline } from "../src/internal.js";
 
 const clockAt = (wall: { time: number; }): Clock => ({
@@ -27,12 +27,12 @@
     far.time += 10;
     first.record("callers", "ended", "abc");
     const listeners = await Promise.all([serveTimeline(first), serveTimeline(second)]);
-    const pages = await Promise.all(listeners.map(listener => collect(clockAt(near), listener.address)));
+    const pages = await Promise.all(listeners.map(listener => collectPage(clockAt(near), listener.address)));
     await Promise.all(listeners.map(listener => listener.close()));
-    const events = merge(pages);
+    const events = mergePages(pages);
     expect(events.map(event => event.event)).toEqual(["admitted", "stream", "ended"]);
-    expect(timelineText(events).split("\n")).toHaveLength(3);
-    expect(timelineHtml(events)).toContain("<circle");
+    expect(formatTimelineText(events).split("\n")).toHaveLength(3);
+    expect(formatTimelineHtml(events)).toContain("<circle");
 });
 
 test("a full ring says what it lost", () => {
--- a/src/commands/entry.ts
+++ b/src/commands/entry.ts
@@ -1,7 +1,7 @@
 /** `dandelionramp-entry`: the one long-lived process of an instance. */
 import { Flags } from "@oclif/core";
 import { entrySettingsSchema, readSettings, startEntry, systemClock, systemRandom } from "../internal.js";
-import { ProgramCommand, stopRequested } from "./program.js";
+import { ProgramCommand, waitForStopSignal } from "./program.js";
 
 /** Runs an entry until SIGTERM, then drains it. */
 export default class EntryCommand extends ProgramCommand {
@@ -16,7 +16,7 @@
         const { flags } = await this.parse(EntryCommand);
         const settings = readSettings(flags.settings, entrySettingsSchema);
         const entry = await startEntry(settings, systemClock, systemRandom);
-        await stopRequested();
+        await waitForStopSignal();
         await entry.drain();
         this.exit(0);
     }
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -2,16 +2,16 @@
 import { Flags } from "@oclif/core";
 import { writeFileSync } from "node:fs";
 import { SettingsError, systemClock } from "../internal.js";
-import { MixPart } from "../load/arrivals.js";
+import { PromptClass } from "../load/arrivals.js";
 import { runExperiment, TimedFault } from "../load/experiment.js";
-import { reportText, summarize } from "../load/report.js";
+import { formatLoadReport, summarize } from "../load/report.js";
 import { ProgramCommand } from "./program.js";
 
 const failedExitCode = 1;
 const mixPattern = /^(\d+):(\d+)$/;
 const faultPattern = /^(\d+)@([^@]+)@([A-Za-z]+)(?:=([\d.]+))?$/;
 
-const parseMix = (text: string): MixPart[] =>
+const parseMix = (text: string): PromptClass[] =>
     text.split(",").map(part => {
         const [, promptTokens, weight] = mixPattern.exec(part.trim()) ?? [];
         if (promptTokens === undefined) {
@@ -85,7 +85,7 @@
             faults: (flags.fault ?? []).map(parseFault),
         });
         const report = summarize(records, (systemClock.now() - startedAt) / 1_000, flags["timeout-ms"]);
-        this.log(reportText(report));
+        this.log(formatLoadReport(report));
         if (flags.out !== undefined) {
             writeFileSync(flags.out, `${JSON.stringify(report, undefined, 4)}\n`);
         }
--- a/src/commands/losses.ts
+++ b/src/commands/losses.ts
@@ -1,8 +1,8 @@
 /** `dandelionramp losses`: what requests lost, by reason and by time, from the entries' logs alone. */
 import { Args, Flags } from "@oclif/core";
-import { readLogs } from "../losses/logFiles.js";
-import { storiesOf } from "../losses/stories.js";
-import { lossTable, lossText } from "../losses/table.js";
+import { readLogFiles } from "../losses/logFiles.js";
+import { buildTraces } from "../losses/requestTraces.js";
+import { createLossTable, formatLossTable } from "../losses/table.js";
 import { describeError } from "../utils/errors.js";
 import { SettingsError } from "../utils/settings.js";
 import { ProgramCommand } from "./program.js";
@@ -25,8 +25,8 @@
     async run(): Promise<void> {
         const { argv, flags } = await this.parse(LossesCommand);
         const { lines, skipped, dropped } = this.read(argv as string[]);
-        const table = lossTable(storiesOf(lines), flags.span * 1_000);
-        this.log(flags.json ? JSON.stringify({ ...table, skipped, dropped }, undefined, 4) : lossText(table));
+        const table = createLossTable(buildTraces(lines), flags.span * 1_000);
+        this.log(flags.json ? JSON.stringify({ ...table, skipped, dropped }, undefined, 4) : formatLossTable(table));
         if (skipped + dropped > 0 && !flags.json) {
             this.log(`${skipped} lines were no entry's; entries dropped ${dropped} lines.`);
         }
@@ -34,7 +34,7 @@
 
     private read(files: readonly string[]) {
         try {
-            return readLogs(files);
+            return readLogFiles(files);
         }
         catch (error) {
             throw new SettingsError(`the logs can't be read: ${describeError(error)}`, { cause: error });
--- a/src/commands/operator/index.ts
+++ b/src/commands/operator/index.ts
@@ -19,7 +19,7 @@
 const nameArgument = Args.string({ description: "name of the object", required: true });
 
 abstract class OperatorCommand extends ProgramCommand {
-    protected async ask(entry: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
+    protected async sendRequest(entry: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
         try {
             return await requestJson({ address: entry, method, path }, value);
         }
@@ -31,16 +31,16 @@
     }
 
     /** Prints a read's answer, or ends with its error. */
-    protected show(answer: JsonResponse, json: boolean, text: (value: never) => string): void {
-        if (answer.status !== 200) {
-            this.error((answer.value as { error: string; }).error, { exit: failedExitCode });
+    protected printResponse(response: JsonResponse, json: boolean, format: (value: never) => string): void {
+        if (response.status !== 200) {
+            this.error((response.value as { error: string; }).error, { exit: failedExitCode });
         }
-        this.log(json ? JSON.stringify(answer.value, undefined, 4) : text(answer.value as never));
+        this.log(json ? JSON.stringify(response.value, undefined, 4) : format(response.value as never));
     }
 
     /** Prints what became of a change, or ends with its error. */
-    protected report(answer: JsonResponse, subject: string): void {
-        const outcome = answer.value as {
+    protected printChange(response: JsonResponse, subject: string): void {
+        const outcome = response.value as {
             type?: string;
             version?: number;
             current?: { version: number; };
@@ -55,10 +55,12 @@
             return;
         }
         if (outcome.type === "Conflict") {
-            const found = outcome.current ? `version ${outcome.current.version} is there now` : "it is not there";
-            this.error(`${subject}: refused, somebody else changed it; ${found}.`, { exit: failedExitCode });
+            const currentVersion = outcome.current
+                ? `version ${outcome.current.version} is there now`
+                : "it is not there";
+            this.error(`${subject}: refused, somebody else changed it; ${currentVersion}.`, { exit: failedExitCode });
         }
-        this.error(outcome.error ?? `${subject}: the entry answered ${answer.status}`, { exit: failedExitCode });
+        this.error(outcome.error ?? `${subject}: the entry answered ${response.status}`, { exit: failedExitCode });
     }
 }
 
@@ -83,7 +85,7 @@
     }[];
 }
 
-const statusText = (status: StatusView): string => {
+const formatStatus = (status: StatusView): string => {
     const lines = [
         `${status.instance} in ${status.dataCentre}: ${status.accepting ? "accepting" : "not accepting"}, `
         + `platform ${status.platformDown ? "down" : "up"}, configuration revision ${status.configurationRevision}`,
@@ -112,7 +114,7 @@
 
     async run(): Promise<void> {
         const { flags } = await this.parse(StatusCommand);
-        this.show(await this.ask(flags.entry, "GET", "/status"), flags.json, statusText);
+        this.printResponse(await this.sendRequest(flags.entry, "GET", "/status"), flags.json, formatStatus);
     }
 }
 
@@ -130,9 +132,9 @@
 
     async run(): Promise<void> {
         const { flags, args } = await this.parse(ListCommand);
-        const answer = await this.ask(flags.entry, "GET", `/objects/${args.kind}`);
-        this.show(
-            answer,
+        const response = await this.sendRequest(flags.entry, "GET", `/objects/${args.kind}`);
+        this.printResponse(
+            response,
             flags.json,
             ({ objects }: { objects: ObjectView[]; }) =>
                 objects.map(object => `${object.name}  version ${object.version}`).join("\n"),
@@ -148,9 +150,13 @@
 
     async run(): Promise<void> {
         const { flags, args } = await this.parse(ShowCommand);
-        const answer = await this.ask(flags.entry, "GET", `/objects/${args.kind}/${encodeURIComponent(args.name)}`);
-        this.show(
-            answer,
+        const response = await this.sendRequest(
+            flags.entry,
+            "GET",
+            `/objects/${args.kind}/${encodeURIComponent(args.name)}`,
+        );
+        this.printResponse(
+            response,
             flags.json,
             (object: ObjectView) => `version ${object.version}\n${JSON.stringify(object.value, undefined, 4)}`,
         );
@@ -182,8 +188,11 @@
         const { flags, args } = await this.parse(SetCommand);
         const path = `/objects/${args.kind}/${encodeURIComponent(args.name)}`;
         const value = this.readValue(flags.file, flags.value);
-        const answer = await this.ask(flags.entry, "PUT", path, { value, expectedVersion: flags["expected-version"] });
-        this.report(answer, `${args.kind} ${args.name}`);
+        const response = await this.sendRequest(flags.entry, "PUT", path, {
+            value,
+            expectedVersion: flags["expected-version"],
+        });
+        this.printChange(response, `${args.kind} ${args.name}`);
     }
 
     private readValue(file: string | undefined, value: string | undefined): unknown {
@@ -208,8 +217,10 @@
     async run(): Promise<void> {
         const { flags, args } = await this.parse(RemoveCommand);
         const path = `/objects/${args.kind}/${encodeURIComponent(args.name)}`;
-        const answer = await this.ask(flags.entry, "DELETE", path, { expectedVersion: flags["expected-version"] });
-        this.report(answer, `${args.kind} ${args.name}`);
+        const response = await this.sendRequest(flags.entry, "DELETE", path, {
+            expectedVersion: flags["expected-version"],
+        });
+        this.printChange(response, `${args.kind} ${args.name}`);
     }
 }
 
@@ -227,8 +238,11 @@
     async run(): Promise<void> {
         const { flags, args } = await this.parse({ flags: addressFlag, args: { name: nameArgument } });
         const path = `/${this.direction}/${this.kind}/${encodeURIComponent(args.name)}`;
-        const word = this.kind === "dataCentre" ? "data centre" : "instance";
-        this.report(await this.ask(flags.entry, "POST", path), `${word} ${args.name} ${this.direction}`);
+        const kindText = this.kind === "dataCentre" ? "data centre" : "instance";
+        this.printChange(
+            await this.sendRequest(flags.entry, "POST", path),
+            `${kindText} ${args.name} ${this.direction}`,
+        );
     }
 }
 
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -7,7 +7,7 @@
 /** Exit code for settings and flags that can't be used. */
 export const usageExitCode = 2;
 
-const root = fileURLToPath(new URL("../..", import.meta.url));
+const packageRoot = fileURLToPath(new URL("../..", import.meta.url));
 
 /** How a program's commands are found. */
 export type ProgramCommands =
@@ -18,7 +18,11 @@
 export const runProgram = async (bin: string, commands: ProgramCommands): Promise<void> => {
     const manifest = createRequire(import.meta.url)("../../package.json") as Record<string, unknown>;
     const pjson = { ...manifest, oclif: { bin, commands, topicSeparator: " " } };
-    await execute({ dir: root, args: process.argv.slice(2), loadOptions: { root, pjson: pjson as never } });
+    await execute({
+        dir: packageRoot,
+        args: process.argv.slice(2),
+        loadOptions: { root: packageRoot, pjson: pjson as never },
+    });
 };
 
 /** Base of the commands: an unusable setting is one line and exit code 2. */
@@ -33,7 +37,7 @@
 }
 
 /** Resolves at the first SIGTERM or SIGINT. */
-export const stopRequested = (): Promise<void> =>
+export const waitForStopSignal = (): Promise<void> =>
     new Promise(resolve => {
         process.once("SIGTERM", () => resolve());
         process.once("SIGINT", () => resolve());
--- a/src/commands/quickstart.ts
+++ b/src/commands/quickstart.ts
@@ -17,14 +17,14 @@
 import { PlatformStandIn, startPlatform } from "../standins/platformServer.js";
 import { defaultServiceShape } from "../standins/serviceModel.js";
 import { startService } from "../standins/serviceServer.js";
-import { stopRequested } from "./program.js";
+import { waitForStopSignal } from "./program.js";
 
 const anyPort = "127.0.0.1:0";
 const examples = new URL("../../examples/", import.meta.url);
 const dataCentres = ["north", "east", "south"];
-const readyLookMilliseconds = 50;
+const readinessPollMilliseconds = 50;
 
-const announce = (
+const addInstance = (
     platform: PlatformStandIn,
     role: InstanceRole,
     id: string,
@@ -37,26 +37,34 @@
 };
 
 const startEndpoints = async (platform: PlatformStandIn): Promise<void> => {
-    const runs = new Map<string, number>();
+    const runCounts = new Map<string, number>();
     const shape = { ...defaultEngineShape, startWarm: true };
     for (const [index, dataCentre] of [...dataCentres, ...dataCentres, ...dataCentres].entries()) {
         const id = `engine-${index + 1}`;
         const engine = await startEngine(id, anyPort, shape, systemClock, systemRandom);
         const { address } = engine.listener;
-        announce(platform, InstanceRole.Engine, id, dataCentre, address, engine.model.incarnation, "standin");
+        addInstance(platform, InstanceRole.Engine, id, dataCentre, address, engine.model.incarnation, "standin");
     }
     for (const [index, dataCentre] of dataCentres.entries()) {
         const id = `bookings-${index + 1}`;
-        const service = await startService(id, anyPort, defaultServiceShape, systemClock, systemRandom, runs);
+        const service = await startService(id, anyPort, defaultServiceShape, systemClock, systemRandom, runCounts);
         const { address } = service.listener;
-        announce(platform, InstanceRole.PlainService, id, dataCentre, address, service.model.incarnation, "bookings");
+        addInstance(
+            platform,
+            InstanceRole.PlainService,
+            id,
+            dataCentre,
+            address,
+            service.model.incarnation,
+            "bookings",
+        );
     }
 };
 
-const endpointsKnown = (entry: Entry): boolean =>
+const isReady = (entry: Entry): boolean =>
     entry.node.accepting && entry.node.table.all().some(endpoint => endpoint.report !== undefined);
 
-const greeting = (entry: Entry): string =>
+const createGreeting = (entry: Entry): string =>
     `dandelionramp serves at http://${entry.callers.address}; operators at http://${entry.operators.address}. Try:\n\n`
     + `curl -N http://${entry.callers.address}/v1/chat/completions -H 'Authorization: Bearer quickstart' `
     + `-H 'Content-Type: application/json' `
@@ -72,11 +80,11 @@
     const text = `${readFileSync(settingsFile, "utf8")}\n[platform]\naddress = ${platform.listener.address}\n`;
     const settings = parseSettings(settingsFile, text, entrySettingsSchema);
     const entry = await startEntry(settings, systemClock, systemRandom);
-    while (!endpointsKnown(entry)) {
-        await systemClock.sleep(readyLookMilliseconds);
+    while (!isReady(entry)) {
+        await systemClock.sleep(readinessPollMilliseconds);
     }
-    process.stdout.write(greeting(entry));
-    await stopRequested();
+    process.stdout.write(createGreeting(entry));
+    await waitForStopSignal();
     await entry.drain();
     process.exit(0);
 };
--- a/src/commands/replay.ts
+++ b/src/commands/replay.ts
@@ -4,8 +4,8 @@
 import path from "node:path";
 import { readPattern } from "../replay/pattern.js";
 import { replay, type ReplayOptions, type ReplayResult } from "../replay/replay.js";
-import { replaySvg } from "../replay/replayPlot.js";
-import { replayReport, replayText } from "../replay/replayReport.js";
+import { drawReplaySvg } from "../replay/replayPlot.js";
+import { createReplayReport, formatReplayReport } from "../replay/replayReport.js";
 import { PlacementPolicy } from "../types/routing.js";
 import { ProgramCommand } from "./program.js";
 
@@ -13,15 +13,15 @@
 enum Baseline {
     LeastOutstanding = "leastOutstanding",
     /** Entries don't tell one another what they place. */
-    OwnView = "ownView",
+    UnsharedLoads = "ownView",
 }
 
-const optionsOf = (baseline: Baseline): Partial<ReplayOptions> => {
+const createBaselineOptions = (baseline: Baseline): Partial<ReplayOptions> => {
     switch (baseline) {
         case Baseline.LeastOutstanding:
             return { policy: PlacementPolicy.LeastOutstanding };
-        case Baseline.OwnView:
-            return { shared: false };
+        case Baseline.UnsharedLoads:
+            return { sharesLoads: false };
     }
 };
 
@@ -49,27 +49,28 @@
     async run(): Promise<void> {
         const { args, flags } = await this.parse(ReplayCommand);
         const pattern = readPattern(args.pattern);
-        const play = async (changes: Partial<ReplayOptions>): Promise<ReplayResult[]> => {
+        const runSeeds = async (changes: Partial<ReplayOptions>): Promise<ReplayResult[]> => {
             const results: ReplayResult[] = [];
             for (let index = 0; index < flags.seeds; index++) {
                 results.push(await replay(pattern, { seed: flags.seed + index, entries: flags.entries, ...changes }));
             }
             return results;
         };
-        const results = await play({});
-        const report = replayReport(results);
-        const compared = flags.baseline && replayReport(await play(optionsOf(flags.baseline)));
+        const results = await runSeeds({});
+        const report = createReplayReport(results);
+        const baselineReport = flags.baseline
+            && createReplayReport(await runSeeds(createBaselineOptions(flags.baseline)));
         if (flags.json) {
-            this.log(JSON.stringify({ report, baseline: compared }, undefined, 4));
+            this.log(JSON.stringify({ report, baseline: baselineReport }, undefined, 4));
         }
         else {
-            this.log(replayText(report));
-            if (compared) {
-                this.log(`\n${flags.baseline}:\n${replayText(compared)}`);
+            this.log(formatReplayReport(report));
+            if (baselineReport) {
+                this.log(`\n${flags.baseline}:\n${formatReplayReport(baselineReport)}`);
             }
         }
         if (flags.plot !== undefined) {
-            writeFileSync(flags.plot, await replaySvg(path.basename(args.pattern, ".ini"), results[0]!));
+            writeFileSync(flags.plot, await drawReplaySvg(path.basename(args.pattern, ".ini"), results[0]!));
         }
     }
 }
--- a/src/commands/standin/index.ts
+++ b/src/commands/standin/index.ts
@@ -21,10 +21,10 @@
 import { startPlatform } from "../../standins/platformServer.js";
 import { defaultServiceShape } from "../../standins/serviceModel.js";
 import { startService } from "../../standins/serviceServer.js";
-import { ProgramCommand, stopRequested } from "../program.js";
+import { ProgramCommand, waitForStopSignal } from "../program.js";
 
-const listRetryMilliseconds = 500;
-const listAgainMilliseconds = 5_000;
+const listingRetryMilliseconds = 500;
+const listingRefreshMilliseconds = 5_000;
 
 const listen = z.strictObject({ address: setting.address(), control: setting.address() });
 const platform = z.strictObject({ address: setting.address() });
@@ -89,13 +89,13 @@
         const path = `/instances/${encodeURIComponent(record().id)}`;
         const put = requestJson({ address: platformAddress, method: "PUT", path }, record());
         const listed = await put.then(answer => answer.status === 200, () => false);
-        await systemClock.sleep(listed ? listAgainMilliseconds : listRetryMilliseconds);
+        await systemClock.sleep(listed ? listingRefreshMilliseconds : listingRetryMilliseconds);
     }
 };
 
 const serveUntilStopped = async (target: FaultTarget, control: string): Promise<void> => {
     await serveFaults(target, control);
-    await stopRequested();
+    await waitForStopSignal();
 };
 
 class PlatformCommand extends ProgramCommand {
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -4,13 +4,13 @@
 import { describeError, systemClock } from "../internal.js";
 import { ProgramCommand } from "./program.js";
 import {
-    collect,
     CollectedPage,
-    merge,
+    collectPage,
+    formatTimelineHtml,
+    formatTimelineSvg,
+    formatTimelineText,
     MergedEvent,
-    timelineHtml,
-    timelineSvg,
-    timelineText,
+    mergePages,
 } from "./timelineMerge.js";
 
 enum Format {
@@ -20,16 +20,16 @@
     Html = "html",
 }
 
-const formatted = (format: Format, events: readonly MergedEvent[]): string => {
+const formatEvents = (format: Format, events: readonly MergedEvent[]): string => {
     switch (format) {
         case Format.Text:
-            return `${timelineText(events)}\n`;
+            return `${formatTimelineText(events)}\n`;
         case Format.Json:
             return `${JSON.stringify(events, undefined, 4)}\n`;
         case Format.Svg:
-            return timelineSvg(events);
+            return formatTimelineSvg(events);
         case Format.Html:
-            return timelineHtml(events);
+            return formatTimelineHtml(events);
     }
 };
 
@@ -57,15 +57,15 @@
         const pages: CollectedPage[] = [];
         for (const address of flags.process) {
             try {
-                pages.push(await collect(systemClock, address));
+                pages.push(await collectPage(systemClock, address));
             }
             catch (error) {
                 this.logToStderr(`${address} does not answer: ${describeError(error)}`);
             }
         }
-        const merged = merge(pages);
+        const merged = mergePages(pages);
         const events = flags.request === undefined ? merged : merged.filter(event => event.requestId === flags.request);
-        const text = formatted(flags.format, events);
+        const text = formatEvents(flags.format, events);
         if (flags.out !== undefined) {
             writeFileSync(flags.out, text);
             return;
--- a/src/commands/timelineMerge.ts
+++ b/src/commands/timelineMerge.ts
@@ -13,16 +13,16 @@
 }
 
 /** Reads one process. The offset assumes that both ways of the exchange took the same time. */
-export const collect = async (clock: Clock, address: string, from = 0): Promise<CollectedPage> => {
-    const askedAt = clock.wallTime();
-    const answer = await requestJson({ address, method: "GET", path: `/events?from=${from}` });
-    const middle = (askedAt + clock.wallTime()) / 2;
-    const page = answer.value as TimelinePage;
-    return { page, offset: page.wallTime - middle };
+export const collectPage = async (clock: Clock, address: string, from = 0): Promise<CollectedPage> => {
+    const requestedAt = clock.wallTime();
+    const response = await requestJson({ address, method: "GET", path: `/events?from=${from}` });
+    const midpoint = (requestedAt + clock.wallTime()) / 2;
+    const page = response.value as TimelinePage;
+    return { page, offset: page.wallTime - midpoint };
 };
 
 /** All events in the order of their corrected times; equal times keep each process's own order. */
-export const merge = (pages: readonly CollectedPage[]): MergedEvent[] => {
+export const mergePages = (pages: readonly CollectedPage[]): MergedEvent[] => {
     const events = pages.flatMap(({ page, offset }) =>
         page.events.map(event => ({ ...event, correctedTime: event.wallTime - offset }))
     );
@@ -32,14 +32,16 @@
     );
 };
 
-const describe = (event: MergedEvent): string =>
+const describeEvent = (event: MergedEvent): string =>
     [event.part, event.event, event.requestId, event.detail].filter(part => part !== undefined && part !== "").join(
         " ",
     );
 
 /** One line an event. */
-export const timelineText = (events: readonly MergedEvent[]): string =>
-    events.map(event => `${new Date(event.correctedTime).toISOString()} ${event.process.padEnd(12)} ${describe(event)}`)
+export const formatTimelineText = (events: readonly MergedEvent[]): string =>
+    events.map(event =>
+        `${new Date(event.correctedTime).toISOString()} ${event.process.padEnd(12)} ${describeEvent(event)}`
+    )
         .join("\n");
 
 const rowHeight = 24;
@@ -47,26 +49,26 @@
 const chartWidth = 1_200;
 const dotRadius = 3;
 
-const escape = (text: string): string =>
+const escapeMarkup = (text: string): string =>
     text.replaceAll("&", "&amp;").replaceAll("<", "&lt;").replaceAll(">", "&gt;").replaceAll("\"", "&quot;");
 
-const hueOf = (part: string): number =>
+const hueOfPart = (part: string): number =>
     [...part].reduce((sum, character) => sum + character.charCodeAt(0) * 37, 0) % 360;
 
 /** An SVG with one row a process and one dot an event; a dot's title tells what happened. */
-export const timelineSvg = (events: readonly MergedEvent[]): string => {
+export const formatTimelineSvg = (events: readonly MergedEvent[]): string => {
     const processes = [...new Set(events.map(event => event.process))].sort();
     const start = events[0]?.correctedTime ?? 0;
     const span = Math.max(1, (events.at(-1)?.correctedTime ?? 0) - start);
     const height = (processes.length + 2) * rowHeight;
     const rows = processes.map((process, row) =>
-        `<text x="4" y="${(row + 1) * rowHeight + 4}">${escape(process)}</text>`
+        `<text x="4" y="${(row + 1) * rowHeight + 4}">${escapeMarkup(process)}</text>`
     );
     const dots = events.map(event => {
         const x = labelWidth + (event.correctedTime - start) / span * chartWidth;
         const y = (processes.indexOf(event.process) + 1) * rowHeight;
-        const title = escape(`+${Math.round(event.correctedTime - start)} ms ${describe(event)}`);
-        return `<circle cx="${x.toFixed(1)}" cy="${y}" r="${dotRadius}" fill="hsl(${hueOf(event.part)} 70% 45%)">`
+        const title = escapeMarkup(`+${Math.round(event.correctedTime - start)} ms ${describeEvent(event)}`);
+        return `<circle cx="${x.toFixed(1)}" cy="${y}" r="${dotRadius}" fill="hsl(${hueOfPart(event.part)} 70% 45%)">`
             + `<title>${title}</title></circle>`;
     });
     const axis = `<text x="${labelWidth}" y="${height - 8}">0</text>`
@@ -78,6 +80,6 @@
 };
 
 /** A page with the drawing and the lines below it. */
-export const timelineHtml = (events: readonly MergedEvent[]): string =>
-    `<!doctype html><meta charset="utf-8"><title>Time line</title>${timelineSvg(events)}`
-    + `<pre>${escape(timelineText(events))}</pre>\n`;
+export const formatTimelineHtml = (events: readonly MergedEvent[]): string =>
+    `<!doctype html><meta charset="utf-8"><title>Time line</title>${formatTimelineSvg(events)}`
+    + `<pre>${escapeMarkup(formatTimelineText(events))}</pre>\n`;
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -2,7 +2,7 @@
 import { Milliseconds, Random, seededRandom } from "../internal.js";
 
 /** One class of prompts in a mix. */
-export interface MixPart {
+export interface PromptClass {
     promptTokens: number;
     weight: number;
 }
@@ -12,7 +12,7 @@
     requests: number;
     /** Mean arrivals a second of the Poisson process; 0 sends everything at once. */
     ratePerSecond: number;
-    mix: readonly MixPart[];
+    mix: readonly PromptClass[];
     /** Whether the weights are exact counts; `requests` is not used then. */
     exact: boolean;
     answerTokens: number;
@@ -28,23 +28,23 @@
 }
 
 const charactersPerToken = 4;
-const filler = "tents and crews and lakes and forms ";
+const fillerText = "tents and crews and lakes and forms ";
 
-const promptOf = (seed: number, index: number, promptTokens: number, answerTokens: number): string => {
+const createPrompt = (seed: number, index: number, promptTokens: number, answerTokens: number): string => {
     const head = `request ${seed}-${index} [[tokens=${answerTokens}]] `;
     const characters = promptTokens * charactersPerToken;
-    return (head + filler.repeat(Math.ceil(Math.max(0, characters - head.length) / filler.length))).slice(
+    return (head + fillerText.repeat(Math.ceil(Math.max(0, characters - head.length) / fillerText.length))).slice(
         0,
         characters,
     );
 };
 
-const pick = (mix: readonly MixPart[], random: Random): number => {
+const pickLength = (mix: readonly PromptClass[], random: Random): number => {
     const total = mix.reduce((sum, part) => sum + part.weight, 0);
-    let rest = random.next() * total;
+    let remainder = random.next() * total;
     for (const part of mix) {
-        rest -= part.weight;
-        if (rest < 0) {
+        remainder -= part.weight;
+        if (remainder < 0) {
             return part.promptTokens;
         }
     }
@@ -52,28 +52,28 @@
 };
 
 /** As many lengths as the mix's weights say, shuffled by the seed. */
-const exactLengths = (mix: readonly MixPart[], random: Random): number[] => {
+const exactLengths = (mix: readonly PromptClass[], random: Random): number[] => {
     const lengths = mix.flatMap(part => Array.from({ length: part.weight }, () => part.promptTokens));
     for (let index = lengths.length - 1; index > 0; index--) {
-        const other = Math.floor(random.next() * (index + 1));
-        [lengths[index], lengths[other]] = [lengths[other]!, lengths[index]!];
+        const otherIndex = Math.floor(random.next() * (index + 1));
+        [lengths[index], lengths[otherIndex]] = [lengths[otherIndex]!, lengths[index]!];
     }
     return lengths;
 };
 
-const lengthsOf = (plan: ArrivalPlan): number[] => {
+const planLengths = (plan: ArrivalPlan): number[] => {
     const random = seededRandom(plan.seed + 1);
     return plan.exact
         ? exactLengths(plan.mix, random)
-        : Array.from({ length: plan.requests }, () => pick(plan.mix, random));
+        : Array.from({ length: plan.requests }, () => pickLength(plan.mix, random));
 };
 
 /** All arrivals of a plan, in order. Prompts are made on demand: a million tokens are four megabytes. */
 export function* planArrivals(plan: ArrivalPlan): Generator<Arrival, void> {
     const random = seededRandom(plan.seed);
     let at = 0;
-    for (const [index, promptTokens] of lengthsOf(plan).entries()) {
+    for (const [index, promptTokens] of planLengths(plan).entries()) {
         at += plan.ratePerSecond === 0 ? 0 : -Math.log(1 - random.next()) / plan.ratePerSecond * 1_000;
-        yield { index, at, promptTokens, prompt: promptOf(plan.seed, index, promptTokens, plan.answerTokens) };
+        yield { index, at, promptTokens, prompt: createPrompt(plan.seed, index, promptTokens, plan.answerTokens) };
     }
 }
--- a/src/load/booker.ts
+++ b/src/load/booker.ts
@@ -2,7 +2,7 @@
 import { Clock, Milliseconds, readBody, sendRequest } from "../internal.js";
 
 /** What a booking's caller was told last. */
-export enum BookingEnd {
+export enum BookingOutcome {
     Booked = "booked",
     NotRun = "notRun",
     Unknown = "unknown",
@@ -12,7 +12,7 @@
 /** One booking as its caller knows it. */
 export interface BookingRecord {
     key: string;
-    end: BookingEnd;
+    end: BookingOutcome;
     attempts: number;
     /** Distinct whole answers: a repeat must get the first one. */
     answers: string[];
@@ -27,26 +27,26 @@
     attempts: number;
 }
 
-const answerLimitBytes = 64 * 1024;
-const slackMilliseconds = 2_000;
-const pauseMilliseconds = 300;
-const retryAfterAtMostSeconds = 5;
+const maximumResponseBytes = 64 * 1024;
+const timeoutSlackMilliseconds = 2_000;
+const minimumRetryDelayMilliseconds = 300;
+const maximumRetryAfterSeconds = 5;
 
 /** What one attempt brought. */
 interface AttemptResult {
-    end: BookingEnd;
+    end: BookingOutcome;
     text: string;
     detail?: string;
     retryAfterSeconds: number;
 }
 
-const attempt = async (
+const attemptBooking = async (
     target: string,
     key: string,
     options: BookingOptions,
 ): Promise<AttemptResult> => {
     try {
-        const answer = await sendRequest({
+        const response = await sendRequest({
             address: target,
             method: "POST",
             path: "/services/bookings/places",
@@ -56,18 +56,18 @@
                 "x-request-timeout-ms": String(options.timeoutMilliseconds),
             },
             body: key,
-            signal: AbortSignal.timeout(options.timeoutMilliseconds + slackMilliseconds),
+            signal: AbortSignal.timeout(options.timeoutMilliseconds + timeoutSlackMilliseconds),
         });
-        const text = (await readBody(answer.body, answerLimitBytes)).toString("utf8");
-        if (answer.status === 201) {
-            return { end: BookingEnd.Booked, text, retryAfterSeconds: 0 };
+        const text = (await readBody(response.body, maximumResponseBytes)).toString("utf8");
+        if (response.status === 201) {
+            return { end: BookingOutcome.Booked, text, retryAfterSeconds: 0 };
         }
         const { execution, detail } = JSON.parse(text) as { execution?: string; detail?: string; };
-        const end = execution === "not-run" ? BookingEnd.NotRun : BookingEnd.Unknown;
-        return { end, text, detail, retryAfterSeconds: Number(answer.headers["retry-after"] ?? 0) };
+        const end = execution === "not-run" ? BookingOutcome.NotRun : BookingOutcome.Unknown;
+        return { end, text, detail, retryAfterSeconds: Number(response.headers["retry-after"] ?? 0) };
     }
     catch {
-        return { end: BookingEnd.NoAnswer, text: "", retryAfterSeconds: 0 };
+        return { end: BookingOutcome.NoAnswer, text: "", retryAfterSeconds: 0 };
     }
 };
 
@@ -80,20 +80,20 @@
     options: BookingOptions,
 ): Promise<BookingRecord> => {
     const answers = new Set<string>();
-    let end = BookingEnd.NoAnswer;
+    let end = BookingOutcome.NoAnswer;
     let attempts = 0;
     let detail: string | undefined;
-    while (attempts < options.attempts && (end !== BookingEnd.Booked || attempts < 2)) {
-        const outcome = await attempt(targets[(index + attempts) % targets.length]!, key, options);
+    while (attempts < options.attempts && (end !== BookingOutcome.Booked || attempts < 2)) {
+        const result = await attemptBooking(targets[(index + attempts) % targets.length]!, key, options);
         attempts++;
-        detail = outcome.detail;
-        if (outcome.end === BookingEnd.Booked) {
-            answers.add(outcome.text);
+        detail = result.detail;
+        if (result.end === BookingOutcome.Booked) {
+            answers.add(result.text);
         }
         // Once booked, a caller that asks again and hears less still knows that it is booked.
-        end = answers.size > 0 ? BookingEnd.Booked : outcome.end;
-        const retryAfter = Math.min(retryAfterAtMostSeconds, outcome.retryAfterSeconds) * 1_000;
-        await clock.sleep(Math.max(pauseMilliseconds, retryAfter));
+        end = answers.size > 0 ? BookingOutcome.Booked : result.end;
+        const retryAfter = Math.min(maximumRetryAfterSeconds, result.retryAfterSeconds) * 1_000;
+        await clock.sleep(Math.max(minimumRetryDelayMilliseconds, retryAfter));
     }
     return { key, end, attempts, answers: [...answers], detail };
 };
--- a/src/load/caller.ts
+++ b/src/load/caller.ts
@@ -41,7 +41,7 @@
     timeoutMilliseconds: Milliseconds;
 }
 
-const problemLimitBytes = 64 * 1024;
+const maximumProblemBytes = 64 * 1024;
 const timeoutSlackMilliseconds = 5_000;
 
 interface StreamState {
@@ -51,7 +51,7 @@
     firstTokenAt: Milliseconds | undefined;
 }
 
-const readStream = async (clock: Clock, answer: IncomingResponse): Promise<StreamState> => {
+const readStream = async (clock: Clock, response: IncomingResponse): Promise<StreamState> => {
     const state: StreamState = { text: "", done: false, problem: undefined, firstTokenAt: undefined };
     const parser = createParser({
         onEvent: event => {
@@ -68,14 +68,14 @@
             state.text += chunk.choices[0]?.text ?? "";
         },
     });
-    answer.body.setEncoding("utf8");
-    for await (const chunk of answer.body as AsyncIterable<string>) {
+    response.body.setEncoding("utf8");
+    for await (const chunk of response.body as AsyncIterable<string>) {
         parser.feed(chunk);
     }
     return state;
 };
 
-const judge = (state: StreamState, expected: string): CallOutcome => {
+const judgeStream = (state: StreamState, expected: string): CallOutcome => {
     if (state.problem !== undefined) {
         return CallOutcome.Refused;
     }
@@ -98,7 +98,7 @@
     const startedAt = clock.now();
     const base = { index: arrival.index, target, promptTokens: arrival.promptTokens, startedAt };
     try {
-        const answer = await sendRequest({
+        const response = await sendRequest({
             address: target,
             method: "POST",
             path: "/v1/completions",
@@ -115,18 +115,18 @@
             }),
             signal: AbortSignal.timeout(options.timeoutMilliseconds + timeoutSlackMilliseconds),
         });
-        if (answer.status !== 200) {
-            return await refusedRecord(clock, base, answer);
+        if (response.status !== 200) {
+            return await createRefusedRecord(clock, base, response);
         }
-        const state = await readStream(clock, answer);
+        const state = await readStream(clock, response);
         const problem = state.problem === undefined ? {} : JSON.parse(state.problem) as Partial<CallRecord>;
         return {
             ...base,
             firstTokenMilliseconds: state.firstTokenAt === undefined ? undefined : state.firstTokenAt - startedAt,
             totalMilliseconds: clock.now() - startedAt,
-            outcome: judge(state, expectedAnswer(arrival.prompt, options.answerTokens)),
+            outcome: judgeStream(state, expectedAnswer(arrival.prompt, options.answerTokens)),
             status: 200,
-            requestId: answer.headers["x-request-id"] as string | undefined,
+            requestId: response.headers["x-request-id"] as string | undefined,
             execution: problem.execution,
             detail: problem.detail,
         };
@@ -143,20 +143,20 @@
     }
 };
 
-const refusedRecord = async (
+const createRefusedRecord = async (
     clock: Clock,
     base: Pick<CallRecord, "index" | "target" | "promptTokens" | "startedAt">,
-    answer: IncomingResponse,
+    response: IncomingResponse,
 ): Promise<CallRecord> => {
-    const text = (await readBody(answer.body, problemLimitBytes)).toString("utf8");
+    const text = (await readBody(response.body, maximumProblemBytes)).toString("utf8");
     const problem = JSON.parse(text) as Partial<CallRecord>;
-    const retryAfter = answer.headers["retry-after"];
+    const retryAfter = response.headers["retry-after"];
     return {
         ...base,
         firstTokenMilliseconds: undefined,
         totalMilliseconds: clock.now() - base.startedAt,
         outcome: CallOutcome.Refused,
-        status: answer.status,
+        status: response.status,
         requestId: problem.requestId,
         execution: problem.execution,
         detail: problem.detail,
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -20,7 +20,7 @@
     faults: readonly TimedFault[];
 }
 
-const setFault = async (clock: Clock, fault: TimedFault): Promise<void> => {
+const injectFault = async (clock: Clock, fault: TimedFault): Promise<void> => {
     await clock.sleep(fault.at);
     const order = { fault: fault.fault, value: fault.value };
     await requestJson({ address: fault.address, method: "POST", path: "/faults" }, order);
@@ -30,7 +30,7 @@
 export const runExperiment = async (clock: Clock, experiment: Experiment): Promise<CallRecord[]> => {
     const startedAt = clock.now();
     const calls: Promise<CallRecord>[] = [];
-    const faults = experiment.faults.map(fault => setFault(clock, fault));
+    const faults = experiment.faults.map(fault => injectFault(clock, fault));
     for (const arrival of planArrivals(experiment.plan)) {
         const wait = startedAt + arrival.at - clock.now();
         if (wait > 0) {
--- a/src/load/report.ts
+++ b/src/load/report.ts
@@ -2,8 +2,8 @@
 import { build, Histogram } from "hdr-histogram-js";
 import { CallOutcome, CallRecord } from "./caller.js";
 
-const highestMilliseconds = 3_600_000;
-const lengthClasses = [2_000, 10_000, 100_000, 500_000, Infinity];
+const highestTrackableMilliseconds = 3_600_000;
+const lengthClassLimits = [2_000, 10_000, 100_000, 500_000, Infinity];
 
 /** Times to first token of one class of prompts, in milliseconds. */
 export interface LengthRow {
@@ -28,27 +28,31 @@
     examples: CallRecord[];
 }
 
-const examplesKept = 10;
-const lateSlackMilliseconds = 500;
+const maximumExamples = 10;
+const lateToleranceMilliseconds = 500;
 
-const newHistogram = (): Histogram =>
-    build({ lowestDiscernibleValue: 1, highestTrackableValue: highestMilliseconds, numberOfSignificantValueDigits: 3 });
+const createHistogram = (): Histogram =>
+    build({
+        lowestDiscernibleValue: 1,
+        highestTrackableValue: highestTrackableMilliseconds,
+        numberOfSignificantValueDigits: 3,
+    });
 
-const firstTokenRows = (records: readonly CallRecord[]): LengthRow[] => {
+const createFirstTokenRows = (records: readonly CallRecord[]): LengthRow[] => {
     const rows: LengthRow[] = [];
-    let above = 0;
-    for (const upTo of lengthClasses) {
-        const histogram = newHistogram();
+    let lowerLimit = 0;
+    for (const upperLimit of lengthClassLimits) {
+        const histogram = createHistogram();
         for (const record of records) {
-            const inClass = record.promptTokens > above && record.promptTokens <= upTo;
+            const inClass = record.promptTokens > lowerLimit && record.promptTokens <= upperLimit;
             if (inClass && record.firstTokenMilliseconds !== undefined) {
                 histogram.recordValue(Math.max(1, Math.round(record.firstTokenMilliseconds)));
             }
         }
-        above = upTo;
+        lowerLimit = upperLimit;
         if (histogram.totalCount > 0) {
             rows.push({
-                upToTokens: Number.isFinite(upTo) ? upTo : undefined,
+                upToTokens: Number.isFinite(upperLimit) ? upperLimit : undefined,
                 requests: histogram.totalCount,
                 p50: histogram.getValueAtPercentile(50),
                 p95: histogram.getValueAtPercentile(95),
@@ -71,21 +75,21 @@
     for (const record of records) {
         outcomes[record.outcome]++;
         byTarget[record.target] = (byTarget[record.target] ?? 0) + 1;
-        late += record.totalMilliseconds > timeoutMilliseconds + lateSlackMilliseconds ? 1 : 0;
+        late += record.totalMilliseconds > timeoutMilliseconds + lateToleranceMilliseconds ? 1 : 0;
     }
     return {
         requests: records.length,
         outcomes,
         late,
         seconds,
-        firstToken: firstTokenRows(records),
+        firstToken: createFirstTokenRows(records),
         byTarget,
-        examples: records.filter(record => record.outcome !== CallOutcome.Whole).slice(0, examplesKept),
+        examples: records.filter(record => record.outcome !== CallOutcome.Whole).slice(0, maximumExamples),
     };
 };
 
 /** The report for people. */
-export const reportText = (report: LoadReport): string => {
+export const formatLoadReport = (report: LoadReport): string => {
     const lines = [
         `${report.requests} requests in ${report.seconds.toFixed(1)} s, ${report.late} late`,
         `outcomes: ${Object.entries(report.outcomes).map(([outcome, count]) => `${outcome} ${count}`).join(", ")}`,
--- a/src/losses/reasons.ts
+++ b/src/losses/reasons.ts
@@ -2,142 +2,147 @@
 import { match } from "ts-pattern";
 import { FailureKind } from "../core/failures.js";
 import type { Milliseconds } from "../utils/clock.js";
-import { type RequestStory, type SendStory, StoryEnd } from "./stories.js";
+import { type AttemptTrace, type RequestTrace, TraceEnd } from "./requestTraces.js";
 
 /** What a request lost by. */
 export enum LossReason {
-    Slot = "waited for a slot",
-    Reads = "waited behind reads",
-    OwnRead = "took long to read",
-    UnforeseenReads = "waited behind reads that weren't foreseen",
-    Unforeseen = "later than predicted, for no reason in the lines",
-    Memory = "waited for memory",
+    SlotWait = "waited for a slot",
+    PrefillWait = "waited behind reads",
+    OwnPrefill = "took long to read",
+    UnpredictedPrefillWait = "waited behind reads that weren't foreseen",
+    Unpredicted = "later than predicted, for no reason in the lines",
+    MemoryWait = "waited for memory",
     Postponed = "postponed for what was worth more",
-    Lost = "its endpoint was lost, refused it or fell silent",
-    Pause = "a pause too long",
-    PauseAfterLoss = "a pause when its endpoint was lost",
-    Refused = "refused: too much to do",
+    EndpointLost = "its endpoint was lost, refused it or fell silent",
+    LongGap = "a pause too long",
+    LongGapAfterLoss = "a pause when its endpoint was lost",
+    Overloaded = "refused: too much to do",
     NoEndpoint = "refused: no endpoint",
-    Stopping = "refused: its entry was stopping",
-    NotReady = "refused: its entry had just started",
-    TimeOver = "its time was over",
+    EntryStopping = "refused: its entry was stopping",
+    EntryNotReady = "refused: its entry had just started",
+    DeadlineExceeded = "its time was over",
     CallerLeft = "its caller left",
-    Broken = "an endpoint broke off, and it may run once only",
+    NotRetryable = "an endpoint broke off, and it may run once only",
     EntryEnded = "its entry ended",
 }
 
 /** A request that lost something. */
 export interface Loss {
-    story: RequestStory;
+    trace: RequestTrace;
     reason: LossReason;
     /** Whether it was answered, though late. */
-    late: boolean;
+    isLate: boolean;
 }
 
 /** Between a caller and its entry; what an entry measures is shorter by this much. */
-const callersWay: Milliseconds = 6;
+const callerTransitDelay: Milliseconds = 6;
 /** A prompt of so many times the length is a long read to another one. */
-const longReadFactor = 3;
+const longPrefillFactor = 3;
 
 /** What all requests of the stories lost by, those in time left out. */
-export const lossesOf = (stories: readonly RequestStory[]): Loss[] => {
-    const reads = readsOf(stories);
+export const findLosses = (traces: readonly RequestTrace[]): Loss[] => {
+    const prefills = findPrefills(traces);
     const losses: Loss[] = [];
-    for (const story of stories) {
-        const reason = reasonOf(story, reads);
+    for (const trace of traces) {
+        const reason = findReason(trace, prefills);
         if (reason !== undefined) {
-            const late = story.end === StoryEnd.Streamed || story.end === StoryEnd.Answered;
-            losses.push({ story, reason, late });
+            const isLate = trace.end === TraceEnd.Streamed || trace.end === TraceEnd.Answered;
+            losses.push({ trace, reason, isLate });
         }
     }
     return losses;
 };
 
-const reasonOf = (story: RequestStory, reads: Reads): LossReason | undefined => {
-    switch (story.end) {
-        case StoryEnd.Streamed:
-        case StoryEnd.Answered:
-            return reasonOfLateness(story, reads);
-        case StoryEnd.Failed:
-            return reasonOfFailure(story);
-        case StoryEnd.CallerLeft:
+const findReason = (trace: RequestTrace, prefills: PrefillsByEndpoint): LossReason | undefined => {
+    switch (trace.end) {
+        case TraceEnd.Streamed:
+        case TraceEnd.Answered:
+            return findLatenessReason(trace, prefills);
+        case TraceEnd.Failed:
+            return findFailureReason(trace);
+        case TraceEnd.CallerLeft:
             return LossReason.CallerLeft;
-        case StoryEnd.Cut:
-            return story.reason === "the caller has left" ? LossReason.CallerLeft : LossReason.Lost;
-        case StoryEnd.Open:
+        case TraceEnd.Cut:
+            return trace.reason === "the caller has left" ? LossReason.CallerLeft : LossReason.EndpointLost;
+        case TraceEnd.Open:
             return LossReason.EntryEnded;
     }
 };
 
-const reasonOfLateness = (story: RequestStory, reads: Reads): LossReason | undefined => {
-    const { target = Infinity, targetGap = Infinity, firstEvent = 0, longestPause, sends } = story;
-    if (firstEvent > target - callersWay) {
-        return reasonOfFirstEvent(story, target, reads);
+const findLatenessReason = (trace: RequestTrace, prefills: PrefillsByEndpoint): LossReason | undefined => {
+    const { target = Infinity, targetGap = Infinity, firstEvent = 0, longestPause, attempts } = trace;
+    if (firstEvent > target - callerTransitDelay) {
+        return findFirstEventReason(trace, target, prefills);
     }
     if (longestPause > targetGap) {
-        return sends.length > 1 ? LossReason.PauseAfterLoss : LossReason.Pause;
+        return attempts.length > 1 ? LossReason.LongGapAfterLoss : LossReason.LongGap;
     }
     return undefined;
 };
 
-const reasonOfFirstEvent = (story: RequestStory, target: Milliseconds, reads: Reads): LossReason => {
-    const { sends, lackedMemory, postponed } = story;
-    const [send] = sends;
-    if (lackedMemory) {
-        return LossReason.Memory;
+const findFirstEventReason = (trace: RequestTrace, target: Milliseconds, prefills: PrefillsByEndpoint): LossReason => {
+    const { attempts, waitedForMemory, wasPostponed } = trace;
+    const [attempt] = attempts;
+    if (waitedForMemory) {
+        return LossReason.MemoryWait;
     }
-    if (sends.length > 1 || !send) {
-        return LossReason.Lost;
+    if (attempts.length > 1 || !attempt) {
+        return LossReason.EndpointLost;
     }
-    if (postponed) {
+    if (wasPostponed) {
         return LossReason.Postponed;
     }
-    if (send.time - story.arrivedAt + send.predicted <= target) {
-        return behindReads(story, send, reads) ? LossReason.UnforeseenReads : LossReason.Unforeseen;
+    if (attempt.time - trace.arrivedAt + attempt.predicted <= target) {
+        return waitedBehindLongPrefill(trace, attempt, prefills)
+            ? LossReason.UnpredictedPrefillWait
+            : LossReason.Unpredicted;
     }
-    const { slotWait, readWait, predicted } = send;
-    const own = predicted - slotWait - readWait;
-    if (slotWait >= readWait && slotWait >= own) {
-        return LossReason.Slot;
+    const { slotWait, readWait, predicted } = attempt;
+    const ownTime = predicted - slotWait - readWait;
+    if (slotWait >= readWait && slotWait >= ownTime) {
+        return LossReason.SlotWait;
     }
-    return readWait >= own ? LossReason.Reads : LossReason.OwnRead;
+    return readWait >= ownTime ? LossReason.PrefillWait : LossReason.OwnPrefill;
 };
 
-const reasonOfFailure = ({ failure, reason, sends }: RequestStory): LossReason =>
+const findFailureReason = ({ failure, reason, attempts }: RequestTrace): LossReason =>
     match(failure)
         .with(FailureKind.NoEndpoint, () => LossReason.NoEndpoint)
-        .with(FailureKind.Stopping, () => LossReason.Stopping)
-        .with(FailureKind.NotConfigured, () => LossReason.NotReady)
+        .with(FailureKind.Stopping, () => LossReason.EntryStopping)
+        .with(FailureKind.NotConfigured, () => LossReason.EntryNotReady)
         .with(FailureKind.DeadlineExceeded, () =>
-            reason === "the caller has left" ? LossReason.CallerLeft : LossReason.TimeOver)
+            reason === "the caller has left" ? LossReason.CallerLeft : LossReason.DeadlineExceeded)
         .with(FailureKind.Overloaded, () =>
-            sends.length > 0 ? LossReason.Lost : LossReason.Refused)
-        .otherwise(() => LossReason.Broken);
+            attempts.length > 0 ? LossReason.EndpointLost : LossReason.Overloaded)
+        .otherwise(() => LossReason.NotRetryable);
 
 /** Sends by the endpoints that read for them. */
-type Reads = ReadonlyMap<string, readonly { story: RequestStory; send: SendStory; until: Milliseconds; }[]>;
+type PrefillsByEndpoint = ReadonlyMap<
+    string,
+    readonly { trace: RequestTrace; attempt: AttemptTrace; until: Milliseconds; }[]
+>;
 
-const readsOf = (stories: readonly RequestStory[]): Reads => {
-    const reads = new Map<string, { story: RequestStory; send: SendStory; until: Milliseconds; }[]>();
-    for (const story of stories) {
-        for (const [index, send] of story.sends.entries()) {
-            const next = story.sends[index + 1]?.time ?? story.endedAt;
-            const read = { story, send, until: story.firstEvent ? story.arrivedAt + story.firstEvent : next };
-            for (const endpoint of [send.endpoint, ...send.helpers]) {
-                reads.set(endpoint, [...reads.get(endpoint) ?? [], read]);
+const findPrefills = (traces: readonly RequestTrace[]): PrefillsByEndpoint => {
+    const prefills = new Map<string, { trace: RequestTrace; attempt: AttemptTrace; until: Milliseconds; }[]>();
+    for (const trace of traces) {
+        for (const [index, attempt] of trace.attempts.entries()) {
+            const endedAt = trace.attempts[index + 1]?.time ?? trace.endedAt;
+            const prefill = { trace, attempt, until: trace.firstEvent ? trace.arrivedAt + trace.firstEvent : endedAt };
+            for (const endpoint of [attempt.endpoint, ...attempt.helpers]) {
+                prefills.set(endpoint, [...prefills.get(endpoint) ?? [], prefill]);
             }
         }
     }
-    return reads;
+    return prefills;
 };
 
 /** Whether a much longer prompt was read at the same endpoint while the request waited for its first event. */
-const behindReads = (story: RequestStory, send: SendStory, reads: Reads): boolean => {
-    const { firstEvent = 0, arrivedAt, promptTokens = 0 } = story;
-    return (reads.get(send.endpoint) ?? []).some(other =>
-        other.story !== story
-        && (other.story.promptTokens ?? 0) > longReadFactor * promptTokens
-        && other.send.time < arrivedAt + firstEvent
-        && other.until > send.time
+const waitedBehindLongPrefill = (trace: RequestTrace, attempt: AttemptTrace, prefills: PrefillsByEndpoint): boolean => {
+    const { firstEvent = 0, arrivedAt, promptTokens = 0 } = trace;
+    return (prefills.get(attempt.endpoint) ?? []).some(prefill =>
+        prefill.trace !== trace
+        && (prefill.trace.promptTokens ?? 0) > longPrefillFactor * promptTokens
+        && prefill.attempt.time < arrivedAt + firstEvent
+        && prefill.until > attempt.time
     );
 };
--- a/src/losses/stories.ts
+++ b/src/losses/requestTraces.ts
@@ -12,7 +12,7 @@
 }
 
 /** One send, and what an entry believed then. */
-export interface SendStory {
+export interface AttemptTrace {
     time: Milliseconds;
     endpoint: string;
     helpers: readonly string[];
@@ -23,7 +23,7 @@
 }
 
 /** How a request ended. */
-export enum StoryEnd {
+export enum TraceEnd {
     Streamed = "streamed",
     Answered = "answered",
     Failed = "failed",
@@ -34,17 +34,17 @@
 }
 
 /** One request. */
-export interface RequestStory {
+export interface RequestTrace {
     id: string;
     entry: string;
     arrivedAt: Milliseconds;
     promptTokens: number | undefined;
     target: Milliseconds | undefined;
     targetGap: Milliseconds | undefined;
-    sends: SendStory[];
-    postponed: boolean;
-    lackedMemory: boolean;
-    end: StoryEnd;
+    attempts: AttemptTrace[];
+    wasPostponed: boolean;
+    waitedForMemory: boolean;
+    end: TraceEnd;
     endedAt: Milliseconds;
     /** Of a stream, and of a plain answer. */
     firstEvent: Milliseconds | undefined;
@@ -54,11 +54,11 @@
     reason: string | undefined;
 }
 
-const numberOf = (value: unknown): number | undefined => typeof value === "number" ? value : undefined;
-const textOf = (value: unknown): string | undefined => typeof value === "string" ? value : undefined;
+const asNumber = (value: unknown): number | undefined => typeof value === "number" ? value : undefined;
+const asText = (value: unknown): string | undefined => typeof value === "string" ? value : undefined;
 
 /** Requests that were turned away for what the caller sent; nobody owes them an answer. */
-const callersOwnFaults = new Set<string>([
+const callerErrorKinds = new Set<string>([
     FailureKind.UnknownRoute,
     FailureKind.UnknownCustomer,
     FailureKind.BadRequest,
@@ -66,35 +66,35 @@
 ]);
 
 /** The requests that `lines` tell of, in the order of their arrival. */
-export const storiesOf = (lines: readonly LogLine[]): RequestStory[] => {
-    const stories = new Map<string, RequestStory>();
+export const buildTraces = (lines: readonly LogLine[]): RequestTrace[] => {
+    const traceById = new Map<string, RequestTrace>();
     for (const line of lines) {
-        const id = textOf(line.fields.requestId);
+        const id = asText(line.fields.requestId);
         if (id === undefined || !line.message.startsWith("request: ")) {
             continue;
         }
-        let story = stories.get(id);
-        if (!story) {
-            story = newStory(id, line);
-            stories.set(id, story);
+        let trace = traceById.get(id);
+        if (!trace) {
+            trace = createTrace(id, line);
+            traceById.set(id, trace);
         }
-        tell(story, line);
+        applyLine(trace, line);
     }
-    return [...stories.values()].filter(({ failure }) => failure === undefined || !callersOwnFaults.has(failure))
+    return [...traceById.values()].filter(({ failure }) => failure === undefined || !callerErrorKinds.has(failure))
         .sort((left, right) => left.arrivedAt - right.arrivedAt);
 };
 
-const newStory = (id: string, { time, entry, fields }: LogLine): RequestStory => ({
+const createTrace = (id: string, { time, entry, fields }: LogLine): RequestTrace => ({
     id,
     entry,
-    arrivedAt: time - (numberOf(fields.elapsed) ?? 0),
+    arrivedAt: time - (asNumber(fields.elapsed) ?? 0),
     promptTokens: undefined,
     target: undefined,
     targetGap: undefined,
-    sends: [],
-    postponed: false,
-    lackedMemory: false,
-    end: StoryEnd.Open,
+    attempts: [],
+    wasPostponed: false,
+    waitedForMemory: false,
+    end: TraceEnd.Open,
     endedAt: time,
     firstEvent: undefined,
     longestPause: 0,
@@ -102,52 +102,52 @@
     reason: undefined,
 });
 
-const tell = (story: RequestStory, { time, message, fields }: LogLine): void => {
-    story.promptTokens ??= numberOf(fields.promptTokens);
+const applyLine = (trace: RequestTrace, { time, message, fields }: LogLine): void => {
+    trace.promptTokens ??= asNumber(fields.promptTokens);
     switch (message) {
         case "request: Sent.":
-            story.target ??= numberOf(fields.target);
-            story.targetGap ??= numberOf(fields.targetGap);
-            story.sends.push({
+            trace.target ??= asNumber(fields.target);
+            trace.targetGap ??= asNumber(fields.targetGap);
+            trace.attempts.push({
                 time,
-                endpoint: textOf(fields.endpoint) ?? "",
+                endpoint: asText(fields.endpoint) ?? "",
                 helpers: (fields.helpers as string[] | undefined) ?? [],
-                predicted: numberOf(fields.predicted) ?? 0,
-                slotWait: numberOf(fields.slotWait) ?? 0,
-                readWait: numberOf(fields.readWait) ?? 0,
+                predicted: asNumber(fields.predicted) ?? 0,
+                slotWait: asNumber(fields.slotWait) ?? 0,
+                readWait: asNumber(fields.readWait) ?? 0,
             });
             return;
         case "request: Postponed.":
-            story.postponed = true;
+            trace.wasPostponed = true;
             return;
         case "request: Memory can't be set aside.":
-            story.lackedMemory = true;
+            trace.waitedForMemory = true;
             return;
         case "request: Streamed.":
-            end(story, StoryEnd.Streamed, time);
-            story.firstEvent = numberOf(fields.firstEventAfter);
-            story.longestPause = numberOf(fields.longestPause) ?? 0;
+            setEnd(trace, TraceEnd.Streamed, time);
+            trace.firstEvent = asNumber(fields.firstEventAfter);
+            trace.longestPause = asNumber(fields.longestPause) ?? 0;
             return;
         case "request: Answered.":
-            end(story, StoryEnd.Answered, time);
-            story.firstEvent = numberOf(fields.elapsed);
+            setEnd(trace, TraceEnd.Answered, time);
+            trace.firstEvent = asNumber(fields.elapsed);
             return;
         case "request: The caller has left.":
-            end(story, StoryEnd.CallerLeft, time);
+            setEnd(trace, TraceEnd.CallerLeft, time);
             return;
         case "request: A stream was cut.":
-            end(story, StoryEnd.Cut, time);
-            story.reason = textOf(fields.reason);
+            setEnd(trace, TraceEnd.Cut, time);
+            trace.reason = asText(fields.reason);
             return;
         case "request: A request failed.":
-            end(story, StoryEnd.Failed, time);
-            story.failure = textOf(fields.kind);
-            story.reason = textOf(fields.reason);
+            setEnd(trace, TraceEnd.Failed, time);
+            trace.failure = asText(fields.kind);
+            trace.reason = asText(fields.reason);
             return;
     }
 };
 
-const end = (story: RequestStory, how: StoryEnd, time: Milliseconds): void => {
-    story.end = how;
-    story.endedAt = time;
+const setEnd = (trace: RequestTrace, end: TraceEnd, time: Milliseconds): void => {
+    trace.end = end;
+    trace.endedAt = time;
 };
--- a/src/replay/pattern.ts
+++ b/src/replay/pattern.ts
@@ -4,113 +4,114 @@
 import { nonNegative } from "../utils/numbers.js";
 import { readSettings, setting } from "../utils/settings.js";
 
-const expected = "expected a number of at least 0";
+const nonNegativeMessage = "expected a number of at least 0";
 
-const number = () => z.string(expected).refine(text => nonNegative(text) !== undefined, expected).transform(Number);
+const nonNegativeNumber = () =>
+    z.string(nonNegativeMessage).refine(text => nonNegative(text) !== undefined, nonNegativeMessage).transform(Number);
 
-const optional = (usual: number) => number().prefault(String(usual));
+const optionalNumber = (defaultValue: number) => nonNegativeNumber().prefault(String(defaultValue));
 
-const share = () =>
+const ratio = () =>
     z.string("expected a number from 0 to 1")
         .refine(text => (nonNegative(text) ?? 2) <= 1, "expected a number from 0 to 1")
         .transform(Number);
 
 /** What happens to endpoints, or to entries. */
-export enum FaultKind {
+export enum FaultType {
     /** They crash, and come back cold after the time. */
-    Lost = "lost",
+    Crashed = "lost",
     /** They take connections and say nothing. */
-    Silent = "silent",
+    Unresponsive = "silent",
     /** Each pass takes as many times as long as the strength says. */
     Slow = "slow",
     /** Their answers name as many requests a second as the strength says, for all entries together. */
     Limited = "limited",
     /** Operators take the data centre out, and back after the time. */
-    Out = "out",
+    DataCentreOut = "out",
     /** Entries hear nothing of one another; all else reaches them. */
-    EntriesCut = "entriesCut",
+    EntriesPartitioned = "entriesCut",
 }
 
-const kindSchema = z.strictObject({
+const requestKindSchema = z.strictObject({
     /** Requests a second, over all callers. */
-    rate: number(),
-    promptTokens: number(),
+    rate: nonNegativeNumber(),
+    promptTokens: nonNegativeNumber(),
     /** Standard deviation of the logarithm of a prompt's length. */
-    promptSpread: optional(0),
-    promptAtMost: optional(Number.MAX_SAFE_INTEGER),
-    answerEvents: number(),
-    answerSpread: optional(0),
-    answerAtMost: optional(Number.MAX_SAFE_INTEGER),
+    promptSpread: optionalNumber(0),
+    promptAtMost: optionalNumber(Number.MAX_SAFE_INTEGER),
+    answerEvents: nonNegativeNumber(),
+    answerSpread: optionalNumber(0),
+    answerAtMost: optionalNumber(Number.MAX_SAFE_INTEGER),
     /** Milliseconds to the first event, and between events, that callers want. */
-    target: number(),
-    targetGap: number(),
+    target: nonNegativeNumber(),
+    targetGap: nonNegativeNumber(),
     /** Milliseconds that a caller waits for the whole answer. */
-    timeout: number(),
+    timeout: nonNegativeNumber(),
     /** Worth of an answer of mean length in time; and when it is late. */
-    worth: number(),
-    worthLate: number(),
+    worth: nonNegativeNumber(),
+    worthLate: nonNegativeNumber(),
 });
 
 const burstSchema = z.strictObject({
     kind: setting.text(),
     /** Seconds from the start of traffic, and how long. */
-    at: number(),
-    seconds: number(),
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
     /** Factor on the rate of the kind. */
-    factor: number(),
+    factor: nonNegativeNumber(),
 });
 
 const rushSchema = z.strictObject({
     /** The customer's rank by size, from 1. */
     customer: setting.wholeNumber(1),
-    at: number(),
-    seconds: number(),
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
     /** How many times its usual it sends, of all kinds. */
-    factor: number(),
+    factor: nonNegativeNumber(),
 });
 
 const faultSchema = z.strictObject({
-    type: setting.oneOf(FaultKind),
-    at: number(),
-    seconds: number(),
+    type: setting.oneOf(FaultType),
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
     /** Part of the endpoints or entries, taken from `dataCentre` where one is given. */
-    share: share().prefault("1"),
+    share: ratio().prefault("1"),
     dataCentre: z.string().optional(),
-    strength: optional(1),
+    strength: optionalNumber(1),
 });
 
 const patternSchema = z.strictObject({
     pattern: z.strictObject({
         /** Seconds of traffic. */
-        seconds: number(),
+        seconds: nonNegativeNumber(),
         entries: setting.wholeNumber(1),
         dataCentres: setting.wholeNumber(1),
         /** Customers, the first the largest; without any, callers need no keys. */
-        customers: optional(0),
+        customers: optionalNumber(0),
         /** Milliseconds on the way between two instances, one way. */
-        delay: optional(0.5),
+        delay: optionalNumber(0.5),
         /** Part of the datagrams between entries that is lost. */
-        loss: share().prefault("0"),
+        loss: ratio().prefault("0"),
         /** Requests a second that a cold endpoint bears, and seconds for which it is cold. */
-        coldPerSecond: optional(30),
-        coldSeconds: optional(3),
+        coldPerSecond: optionalNumber(30),
+        coldSeconds: optionalNumber(3),
     }),
     engines: z.strictObject({
         count: setting.wholeNumber(1),
         slots: setting.wholeNumber(1),
-        memoryTokens: number(),
-        stepTime: number(),
-        stepTimePerRequest: optional(0),
-        stepTimePerThousandTokens: optional(0),
-        readTokensPerSecond: number(),
-        readTimePerMillionPairs: optional(0),
-        chunkTokens: optional(2_048),
+        memoryTokens: nonNegativeNumber(),
+        stepTime: nonNegativeNumber(),
+        stepTimePerRequest: optionalNumber(0),
+        stepTimePerThousandTokens: optionalNumber(0),
+        readTokensPerSecond: nonNegativeNumber(),
+        readTimePerMillionPairs: optionalNumber(0),
+        chunkTokens: optionalNumber(2_048),
         stepsPerPass: setting.wholeNumber(1),
-        hopTime: optional(0),
+        hopTime: optionalNumber(0),
         /** Milliseconds for which work stalls that depends on a dead engine. */
-        stallTime: optional(1_500),
+        stallTime: optionalNumber(1_500),
     }),
-    kind: z.record(z.string(), kindSchema, "expected sections [kind.NAME]"),
+    kind: z.record(z.string(), requestKindSchema, "expected sections [kind.NAME]"),
     burst: z.record(z.string(), burstSchema).default({}),
     rush: z.record(z.string(), rushSchema).default({}),
     fault: z.record(z.string(), faultSchema).default({}),
@@ -143,19 +144,19 @@
 export type Pattern = z.infer<typeof patternSchema>;
 
 /** One kind of request. */
-export type PatternKind = z.infer<typeof kindSchema>;
+export type PatternRequestKind = z.infer<typeof requestKindSchema>;
 
 /** Reads a pattern. Throws a settings error that names file, section and field. */
 export const readPattern = (file: string): Pattern => readSettings(file, patternSchema);
 
 /** The engines as their service publishes them. */
-export const engineProfileOf = (pattern: Pattern): EngineProfile => {
+export const createEngineProfile = (pattern: Pattern): EngineProfile => {
     const { count, stallTime, ...profile } = pattern.engines;
     void [count, stallTime];
     const kinds = Object.values(pattern.kind);
     const rate = kinds.reduce((sum, kind) => sum + kind.rate, 0);
-    const mean = (value: (kind: PatternKind) => number) =>
-        kinds.reduce((sum, kind) => sum + kind.rate * value(kind), 0) / rate;
-    const answerTokens = mean(({ answerEvents }) => answerEvents) * profile.stepsPerPass;
-    return { ...profile, usual: { promptTokens: mean(({ promptTokens }) => promptTokens), answerTokens } };
+    const meanByRate = (valueOfKind: (kind: PatternRequestKind) => number) =>
+        kinds.reduce((sum, kind) => sum + kind.rate * valueOfKind(kind), 0) / rate;
+    const answerTokens = meanByRate(({ answerEvents }) => answerEvents) * profile.stepsPerPass;
+    return { ...profile, usual: { promptTokens: meanByRate(({ promptTokens }) => promptTokens), answerTokens } };
 };
--- a/src/replay/replayPlot.ts
+++ b/src/replay/replayPlot.ts
@@ -1,12 +1,12 @@
 /** A picture of a replay by seconds: what the requests that arrived then were worth, and what became of it. */
 import type { ReplayResult } from "./replay.js";
-import { worthOf } from "./replayReport.js";
+import { earnedValue } from "./replayReport.js";
 import { CallerOutcome } from "./simulatedCaller.js";
 
 const width = 1_000;
 const height = 400;
 
-const colours: Record<CallerOutcome, string> = {
+const colourByOutcome: Record<CallerOutcome, string> = {
     [CallerOutcome.InTime]: "#3a923a",
     [CallerOutcome.Late]: "#e8b33f",
     [CallerOutcome.Refused]: "#c0504d",
@@ -14,7 +14,7 @@
 };
 
 /** The picture as SVG. What is late counts with what it is still worth; the rest of it is lost. */
-export const replaySvg = async (title: string, { records }: ReplayResult): Promise<string> => {
+export const drawReplaySvg = async (title: string, { records }: ReplayResult): Promise<string> => {
     const { init, use } = await import("echarts/core");
     const { BarChart } = await import("echarts/charts");
     const { GridComponent, LegendComponent, TitleComponent } = await import("echarts/components");
@@ -26,11 +26,11 @@
         for (const record of records) {
             if (record.outcome === outcome) {
                 const second = Math.floor(record.arrival.at / 1_000);
-                const kept = outcome === CallerOutcome.Late ? worthOf(record) : record.arrival.worth;
-                data[second] = Math.round((data[second]! + kept) * 10) / 10;
+                const value = outcome === CallerOutcome.Late ? earnedValue(record) : record.arrival.value;
+                data[second] = Math.round((data[second]! + value) * 10) / 10;
             }
         }
-        return { name: outcome, type: "bar" as const, stack: "worth", color: colours[outcome], data };
+        return { name: outcome, type: "bar" as const, stack: "worth", color: colourByOutcome[outcome], data };
     });
     // Without a document the library draws into a string.
     const chart = init(undefined, undefined, { renderer: "svg", ssr: true, width, height });
--- a/src/replay/replayReport.ts
+++ b/src/replay/replayReport.ts
@@ -1,7 +1,7 @@
 /** What came of replays, for people: by kind of request, and what was lost by which reason. */
 import { build, type Histogram } from "hdr-histogram-js";
-import { type LogLine, storiesOf } from "../losses/stories.js";
-import { lossTable } from "../losses/table.js";
+import { buildTraces, type LogLine } from "../losses/requestTraces.js";
+import { createLossTable } from "../losses/table.js";
 import type { Milliseconds } from "../utils/clock.js";
 import type { ReplayResult } from "./replay.js";
 import { CallerOutcome, type CallerRecord } from "./simulatedCaller.js";
@@ -39,17 +39,17 @@
     datagramsPerRequest: number;
 }
 
-const highestMilliseconds = 3_600_000;
-const spanOfLosses: Milliseconds = 1_000;
-const perCent = 100;
+const highestTrackableMilliseconds = 3_600_000;
+const lossTableSpan: Milliseconds = 1_000;
+const percentPerUnit = 100;
 
 /** What a caller's answer was worth. */
-export const worthOf = ({ outcome, arrival }: CallerRecord): number => {
+export const earnedValue = ({ outcome, arrival }: CallerRecord): number => {
     switch (outcome) {
         case CallerOutcome.InTime:
-            return arrival.worth;
+            return arrival.value;
         case CallerOutcome.Late:
-            return arrival.worthLate;
+            return arrival.lateValue;
         case CallerOutcome.Refused:
         case CallerOutcome.Failed:
             return 0;
@@ -57,37 +57,37 @@
 };
 
 /** Adds the results of several seeds up. */
-export const replayReport = (results: readonly ReplayResult[]): ReplayReport => {
+export const createReplayReport = (results: readonly ReplayResult[]): ReplayReport => {
     const records = results.flatMap(result => result.records);
-    const owed = records.reduce((sum, { arrival }) => sum + arrival.worth, 0);
-    const got = records.reduce((sum, record) => sum + worthOf(record), 0);
+    const offeredTotal = records.reduce((sum, { arrival }) => sum + arrival.value, 0);
+    const earnedTotal = records.reduce((sum, record) => sum + earnedValue(record), 0);
     const datagrams = results.reduce((sum, result) => sum + result.datagrams, 0);
     const kinds = [...new Set(records.map(({ arrival }) => arrival.kind))].sort();
     return {
-        share: got / owed,
-        kinds: kinds.map(kind => kindRow(kind, records.filter(({ arrival }) => arrival.kind === kind))),
-        losses: lossesOf(results),
+        share: earnedTotal / offeredTotal,
+        kinds: kinds.map(kind => createKindRow(kind, records.filter(({ arrival }) => arrival.kind === kind))),
+        losses: averageLosses(results),
         datagramsPerRequest: datagrams / records.length,
     };
 };
 
-const lossesOf = (results: readonly ReplayResult[]): ReplayLoss[] => {
+const averageLosses = (results: readonly ReplayResult[]): ReplayLoss[] => {
     const losses = new Map<string, ReplayLoss>();
     for (const { lines } of results) {
-        const stories = storiesOf(lines satisfies readonly LogLine[]);
-        for (const { reason, requests, share } of lossTable(stories, spanOfLosses).reasons) {
-            const known = losses.get(reason) ?? { reason, requests: 0, share: 0 };
+        const traces = buildTraces(lines satisfies readonly LogLine[]);
+        for (const { reason, requests, share } of createLossTable(traces, lossTableSpan).reasons) {
+            const previous = losses.get(reason) ?? { reason, requests: 0, share: 0 };
             losses.set(reason, {
                 reason,
-                requests: known.requests + requests,
-                share: known.share + share / results.length,
+                requests: previous.requests + requests,
+                share: previous.share + share / results.length,
             });
         }
     }
     return [...losses.values()].sort((left, right) => right.share - left.share);
 };
 
-const kindRow = (kind: string, records: readonly CallerRecord[]): KindRow => {
+const createKindRow = (kind: string, records: readonly CallerRecord[]): KindRow => {
     const count = (outcome: CallerOutcome) => records.filter(record => record.outcome === outcome).length;
     return {
         kind,
@@ -98,38 +98,38 @@
             [CallerOutcome.Refused]: count(CallerOutcome.Refused),
             [CallerOutcome.Failed]: count(CallerOutcome.Failed),
         },
-        firstEvent: percentilesOf(records.flatMap(({ firstEvent }) => firstEvent ?? [])),
-        longestPause: percentilesOf(records.map(({ longestPause }) => longestPause)),
+        firstEvent: computePercentiles(records.flatMap(({ firstEvent }) => firstEvent ?? [])),
+        longestPause: computePercentiles(records.map(({ longestPause }) => longestPause)),
     };
 };
 
-const percentilesOf = (times: readonly Milliseconds[]): Percentiles => {
+const computePercentiles = (times: readonly Milliseconds[]): Percentiles => {
     const histogram: Histogram = build({
-        highestTrackableValue: highestMilliseconds,
+        highestTrackableValue: highestTrackableMilliseconds,
         numberOfSignificantValueDigits: 3,
     });
     for (const time of times) {
         histogram.recordValue(Math.max(1, Math.round(time)));
     }
-    const at = (percentile: number) => times.length === 0 ? 0 : histogram.getValueAtPercentile(percentile);
-    return { p50: at(50), p95: at(95), p99: at(99) };
+    const valueAt = (percentile: number) => times.length === 0 ? 0 : histogram.getValueAtPercentile(percentile);
+    return { p50: valueAt(50), p95: valueAt(95), p99: valueAt(99) };
 };
 
 /** The report as text. */
-export const replayText = ({ share, kinds, losses, datagramsPerRequest }: ReplayReport): string => {
-    const inHundredths = (part: number) => `${(part * perCent).toFixed(1)}%`;
-    const times = ({ p50, p95, p99 }: Percentiles) => `p50 ${p50}, p95 ${p95}, p99 ${p99} ms`;
-    const lines = [`${inHundredths(share)} of the worth, ${datagramsPerRequest.toFixed(1)} datagrams a request`];
+export const formatReplayReport = ({ share, kinds, losses, datagramsPerRequest }: ReplayReport): string => {
+    const formatPercent = (ratio: number) => `${(ratio * percentPerUnit).toFixed(1)}%`;
+    const formatPercentiles = ({ p50, p95, p99 }: Percentiles) => `p50 ${p50}, p95 ${p95}, p99 ${p99} ms`;
+    const lines = [`${formatPercent(share)} of the worth, ${datagramsPerRequest.toFixed(1)} datagrams a request`];
     for (const { kind, requests, outcomes, firstEvent, longestPause } of kinds) {
-        const ends = Object.entries(outcomes).map(([outcome, count]) => `${count} ${outcome}`).join(", ");
+        const outcomeCounts = Object.entries(outcomes).map(([outcome, count]) => `${count} ${outcome}`).join(", ");
         lines.push(
-            `${kind}: ${requests} requests, ${ends}`,
-            `  first event ${times(firstEvent)}; longest pause ${times(longestPause)}`,
+            `${kind}: ${requests} requests, ${outcomeCounts}`,
+            `  first event ${formatPercentiles(firstEvent)}; longest pause ${formatPercentiles(longestPause)}`,
         );
     }
     lines.push("lost, by reason:");
-    for (const { reason, requests, share: lost } of losses) {
-        lines.push(`  ${inHundredths(lost).padStart(6)} ${String(requests).padStart(6)} ${reason}`);
+    for (const { reason, requests, share: lostShare } of losses) {
+        lines.push(`  ${formatPercent(lostShare).padStart(6)} ${String(requests).padStart(6)} ${reason}`);
     }
     return lines.join("\n");
 };
--- a/src/replay/simulatedCaller.ts
+++ b/src/replay/simulatedCaller.ts
@@ -4,7 +4,7 @@
 import type { CallerExchange, RequestHead, ResponseHead } from "../ports/forwardingPorts.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 import { abortQuietly } from "../utils/signal.js";
-import type { PatternKind } from "./pattern.js";
+import type { PatternRequestKind } from "./pattern.js";
 import type { ReplayArrival } from "./replayArrivals.js";
 import type { SimulatedFleet } from "./simulatedFleet.js";
 
@@ -28,22 +28,22 @@
 }
 
 /** Callers come back once after a failure. */
-const triesAtMost = 2;
+const maximumTries = 2;
 /** They come back after at most this part of the time that is left. */
-const waitPart = 1 / 3;
+const maximumRetryDelayRatio = 1 / 3;
 /** They wait for an event for the longest of: a time, so many targets, so many pauses. */
-const patienceAtLeast: Milliseconds = 2_000;
-const patienceTargets = 4;
-const patienceGaps = 8;
+const minimumPatience: Milliseconds = 2_000;
+const patiencePerTarget = 4;
+const patiencePerTargetGap = 8;
 
 /** Callers allow answers of so many times the mean length. */
-const allowedAnswers = 2;
+const maximumAnswerFactor = 2;
 
 /** How one try ended. */
-type TryEnd = { type: "Whole" | "Cut" | "Left"; } | { type: "Failed"; failure: RequestFailure; };
+type TryResult = { type: "Whole" | "Cut" | "Left"; } | { type: "Failed"; failure: RequestFailure; };
 
 /** What callers work with. */
-export interface CallerParts {
+export interface CallerDependencies {
     clock: Clock;
     fleet: SimulatedFleet;
     /** The entry that the balancer picks for the next try. */
@@ -51,12 +51,12 @@
 }
 
 /** Runs one caller to its end. */
-export const callOnce = async (
-    parts: CallerParts,
+export const simulateCaller = async (
+    dependencies: CallerDependencies,
     arrival: ReplayArrival,
-    kind: PatternKind,
+    kind: PatternRequestKind,
 ): Promise<CallerRecord> => {
-    const caller = new SimulatedCaller(parts, arrival, kind);
+    const caller = new SimulatedCaller(dependencies, arrival, kind);
     return await caller.run();
 };
 
@@ -65,69 +65,69 @@
     private firstEvent: Milliseconds | undefined;
     private lastEventAt: Milliseconds;
     private longestPause: Milliseconds = 0;
-    private lastEvent = 0;
+    private receivedEventCount = 0;
     private readonly requestIds: string[] = [];
 
     constructor(
-        private readonly parts: CallerParts,
+        private readonly dependencies: CallerDependencies,
         private readonly arrival: ReplayArrival,
-        private readonly kind: PatternKind,
+        private readonly kind: PatternRequestKind,
     ) {
-        this.startedAt = parts.clock.now();
+        this.startedAt = dependencies.clock.now();
         this.lastEventAt = this.startedAt;
     }
 
     async run(): Promise<CallerRecord> {
-        let refused = false;
-        for (let tries = 0; tries < triesAtMost && this.timeLeft > 0; tries++) {
-            const end = await this.ask(`${this.arrival.id}.${tries}`);
-            if (end.type === "Whole") {
-                return this.record(this.inTime ? CallerOutcome.InTime : CallerOutcome.Late);
+        let wasRefused = false;
+        for (let tryIndex = 0; tryIndex < maximumTries && this.remainingTime > 0; tryIndex++) {
+            const result = await this.sendRequest(`${this.arrival.id}.${tryIndex}`);
+            if (result.type === "Whole") {
+                return this.createRecord(this.isInTime ? CallerOutcome.InTime : CallerOutcome.Late);
             }
-            if (end.type === "Left") {
-                return this.record(CallerOutcome.Failed);
+            if (result.type === "Left") {
+                return this.createRecord(CallerOutcome.Failed);
             }
-            refused = end.type === "Failed" && end.failure.execution === Execution.NotRun;
-            const comeBack = end.type === "Failed" ? (end.failure.retryAfterSeconds ?? 0) * 1_000 : 0;
-            await this.parts.clock.sleep(Math.min(comeBack, this.timeLeft * waitPart));
+            wasRefused = result.type === "Failed" && result.failure.execution === Execution.NotRun;
+            const retryDelay = result.type === "Failed" ? (result.failure.retryAfterSeconds ?? 0) * 1_000 : 0;
+            await this.dependencies.clock.sleep(Math.min(retryDelay, this.remainingTime * maximumRetryDelayRatio));
         }
-        return this.record(refused ? CallerOutcome.Refused : CallerOutcome.Failed);
+        return this.createRecord(wasRefused ? CallerOutcome.Refused : CallerOutcome.Failed);
     }
 
-    private get timeLeft(): Milliseconds {
-        return this.startedAt + this.kind.timeout - this.parts.clock.now();
+    private get remainingTime(): Milliseconds {
+        return this.startedAt + this.kind.timeout - this.dependencies.clock.now();
     }
 
-    private get inTime(): boolean {
+    private get isInTime(): boolean {
         return (this.firstEvent ?? Infinity) <= this.kind.target && this.longestPause <= this.kind.targetGap;
     }
 
-    private async ask(id: string): Promise<TryEnd> {
-        const { clock, fleet, pickEntry } = this.parts;
+    private async sendRequest(id: string): Promise<TryResult> {
+        const { clock, fleet, pickEntry } = this.dependencies;
         this.requestIds.push(id);
-        fleet.expect(id, this.arrival.answerEvents);
-        const exchange = new SimulatedExchange(this.head(id), () => this.take());
+        fleet.setEventCount(id, this.arrival.answerEvents);
+        const exchange = new SimulatedExchange(this.createHead(id), () => this.recordEvent());
         const { target, targetGap } = this.kind;
-        const patience = Math.max(patienceAtLeast, patienceTargets * target, patienceGaps * targetGap);
-        const ended = pickEntry().forwarder.serve(exchange);
+        const patience = Math.max(minimumPatience, patiencePerTarget * target, patiencePerTargetGap * targetGap);
+        const served = pickEntry().forwarder.serve(exchange);
         while (exchange.result === undefined) {
-            const due = Math.min(this.lastEventAt + patience, this.startedAt + this.kind.timeout);
-            if (clock.now() >= due) {
-                exchange.leave();
+            const deadline = Math.min(this.lastEventAt + patience, this.startedAt + this.kind.timeout);
+            if (clock.now() >= deadline) {
+                exchange.disconnect();
                 return { type: "Left" };
             }
             let stopTimer = () => {};
-            const timeUp = new Promise<void>(resolve => {
-                stopTimer = clock.after(due - clock.now(), resolve);
+            const deadlinePassed = new Promise<void>(resolve => {
+                stopTimer = clock.after(deadline - clock.now(), resolve);
             });
-            await Promise.race([ended, exchange.changed(), timeUp]);
+            await Promise.race([served, exchange.waitForChange(), deadlinePassed]);
             stopTimer();
         }
         return exchange.result;
     }
 
-    private take(): void {
-        const now = this.parts.clock.now();
+    private recordEvent(): void {
+        const now = this.dependencies.clock.now();
         if (this.firstEvent === undefined) {
             this.firstEvent = now - this.startedAt;
         }
@@ -135,12 +135,12 @@
             this.longestPause = Math.max(this.longestPause, now - this.lastEventAt);
         }
         this.lastEventAt = now;
-        this.lastEvent++;
+        this.receivedEventCount++;
     }
 
-    private head(id: string): RequestHead {
+    private createHead(id: string): RequestHead {
         const { answerAtMost, answerEvents } = this.kind;
-        const { stepsPerPass } = this.parts.fleet.profile;
+        const { stepsPerPass } = this.dependencies.fleet.profile;
         return {
             id,
             method: "POST",
@@ -148,17 +148,17 @@
             host: "replay",
             headers: [],
             apiKey: this.arrival.customer,
-            callerTimeout: this.timeLeft,
-            arrivedAt: this.parts.clock.now(),
-            lastEventId: this.lastEvent > 0 ? String(this.lastEvent) : undefined,
+            callerTimeout: this.remainingTime,
+            arrivedAt: this.dependencies.clock.now(),
+            lastEventId: this.receivedEventCount > 0 ? String(this.receivedEventCount) : undefined,
             size: {
                 promptTokens: this.arrival.promptTokens,
-                maximumAnswerTokens: Math.min(answerAtMost, allowedAnswers * answerEvents) * stepsPerPass,
+                maximumAnswerTokens: Math.min(answerAtMost, maximumAnswerFactor * answerEvents) * stepsPerPass,
             },
         };
     }
 
-    private record(outcome: CallerOutcome): CallerRecord {
+    private createRecord(outcome: CallerOutcome): CallerRecord {
         const { arrival, firstEvent, longestPause, requestIds } = this;
         return { arrival, outcome, firstEvent, longestPause, requestIds };
     }
@@ -166,26 +166,26 @@
 
 /** The entry's side of one try. */
 class SimulatedExchange implements CallerExchange {
-    result: TryEnd | undefined;
-    private readonly leaving = new AbortController();
-    private wake: () => void = () => {};
+    result: TryResult | undefined;
+    private readonly disconnectController = new AbortController();
+    private notifyWaiter: () => void = () => {};
 
-    constructor(readonly head: RequestHead, private readonly take: () => void) {}
+    constructor(readonly head: RequestHead, private readonly onEvent: () => void) {}
 
     get disconnected(): AbortSignal {
-        return this.leaving.signal;
+        return this.disconnectController.signal;
     }
 
     /** Resolves with the next event, or the end. */
-    changed(): Promise<void> {
+    waitForChange(): Promise<void> {
         return new Promise(resolve => {
-            this.wake = resolve;
+            this.notifyWaiter = resolve;
         });
     }
 
-    leave(): void {
+    disconnect(): void {
         this.result = { type: "Left" };
-        abortQuietly(this.leaving);
+        abortQuietly(this.disconnectController);
     }
 
     readBody(): Promise<Buffer> {
@@ -201,8 +201,8 @@
     }
 
     write(): Promise<void> {
-        this.take();
-        this.wake();
+        this.onEvent();
+        this.notifyWaiter();
         return Promise.resolve();
     }
 
@@ -218,8 +218,8 @@
         this.finish({ type: "Failed", failure });
     }
 
-    private finish(end: TryEnd): void {
-        this.result ??= end;
-        this.wake();
+    private finish(result: TryResult): void {
+        this.result ??= result;
+        this.notifyWaiter();
     }
 }
--- a/src/replay/simulatedClock.ts
+++ b/src/replay/simulatedClock.ts
@@ -3,26 +3,27 @@
 import TinyQueue from "tinyqueue";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 
-interface Event {
+interface ScheduledEvent {
     at: Milliseconds;
     /** Keeps events of the same time in the order in which they were asked for. */
-    order: number;
+    sequenceNumber: number;
     action: (() => void) | undefined;
 }
 
 /** Wall time at the clock's zero; only its differences mean anything. */
 const wallTimeAtZero = 1_700_000_000_000;
 
-const inOrder = (left: Event, right: Event): number => left.at - right.at || left.order - right.order;
+const compareEvents = (left: ScheduledEvent, right: ScheduledEvent): number =>
+    left.at - right.at || left.sequenceNumber - right.sequenceNumber;
 
 /** Lets everything that is ready go on before time does. */
-const settle = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
+const runPendingTasks = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
 /** Simulated time. */
 export class SimulatedClock implements Clock {
     private time: Milliseconds = 0;
-    private order = 0;
-    private readonly events = new TinyQueue<Event>([], inOrder);
+    private nextSequenceNumber = 0;
+    private readonly queue = new TinyQueue<ScheduledEvent>([], compareEvents);
 
     readonly now = (): Milliseconds => this.time;
 
@@ -44,8 +45,12 @@
         });
 
     readonly after = (duration: Milliseconds, action: () => void): () => void => {
-        const event: Event = { at: this.time + Math.max(0, duration), order: this.order++, action };
-        this.events.push(event);
+        const event: ScheduledEvent = {
+            at: this.time + Math.max(0, duration),
+            sequenceNumber: this.nextSequenceNumber++,
+            action,
+        };
+        this.queue.push(event);
         return () => {
             event.action = undefined;
         };
@@ -53,13 +58,13 @@
 
     /** Works off all events up to `until`. */
     async run(until: Milliseconds): Promise<void> {
-        await settle();
-        for (let next = this.events.peek(); next && next.at <= until; next = this.events.peek()) {
-            this.events.pop();
+        await runPendingTasks();
+        for (let next = this.queue.peek(); next && next.at <= until; next = this.queue.peek()) {
+            this.queue.pop();
             if (next.action) {
                 this.time = next.at;
                 next.action();
-                await settle();
+                await runPendingTasks();
             }
         }
         this.time = until;
--- a/src/replay/simulatedEntries.ts
+++ b/src/replay/simulatedEntries.ts
@@ -9,7 +9,7 @@
 import type { SimulatedFleet } from "./simulatedFleet.js";
 
 /** A line that an entry logged. */
-export interface ReplayLine {
+export interface ReplayLogLine {
     /** Milliseconds since the start. */
     time: Milliseconds;
     entry: string;
@@ -18,7 +18,7 @@
 }
 
 /** What the entries of a replay have in common. */
-export interface SimulatedEntriesParts {
+export interface SimulatedEntriesOptions {
     clock: Clock;
     random: Random;
     fleet: SimulatedFleet;
@@ -26,30 +26,30 @@
     dataCentres: number;
     policy: PlacementPolicy;
     /** Whether entries tell one another what they place. */
-    shared: boolean;
+    sharesLoads: boolean;
     /** One way between two instances, and the part of the datagrams that is lost. */
     delay: Milliseconds;
     loss: number;
-    lines: ReplayLine[];
+    lines: ReplayLogLine[];
 }
 
-const repeatLimits = { share: 0.2, window: 10_000, extra: 100 };
-const coldLimits = { factor: 1.5, extra: 5 };
+const retryLimits = { share: 0.2, window: 10_000, extra: 100 };
+const coldStartLimits = { factor: 1.5, extra: 5 };
 
 /** The entries. */
 export class SimulatedEntries {
     readonly entries: readonly EntryCore[];
-    private readonly byAddress = new Map<string, EntryCore>();
-    private readonly cutOff = new Set<string>();
+    private readonly entryByAddress = new Map<string, EntryCore>();
+    private readonly partitionedAddresses = new Set<string>();
     private revision = 0;
 
-    constructor(private readonly parts: SimulatedEntriesParts) {
-        const identities = [...Array(parts.count).keys()].map(index => ({
+    constructor(private readonly options: SimulatedEntriesOptions) {
+        const identities = [...Array(options.count).keys()].map(index => ({
             id: `entry-${index}`,
             address: `10.1.0.${index}:7000`,
             incarnation: "1",
         }));
-        this.entries = identities.map((self, index) => this.start(self, `centre-${index % parts.dataCentres}`));
+        this.entries = identities.map((self, index) => this.startEntry(self, `centre-${index % options.dataCentres}`));
         for (const entry of this.entries) {
             entry.peers.applyListing(identities);
             void entry.peers.runHeartbeats(new AbortController().signal);
@@ -57,17 +57,17 @@
     }
 
     /** Datagrams that were sent, over all entries. */
-    sent = 0;
+    sentDatagramCount = 0;
 
     /** Puts a configuration in force everywhere. */
-    configure(configuration: RoutingConfiguration): void {
+    adoptConfiguration(configuration: RoutingConfiguration): void {
         for (const { configuration: active } of this.entries) {
             active.adopt(configuration);
         }
     }
 
     /** All entries learn of these endpoints. */
-    list(records: readonly EndpointRecord[]): void {
+    publishEndpoints(records: readonly EndpointRecord[]): void {
         const revision = ++this.revision;
         const items = records.map(record => ({ name: record.id, revision, value: record }));
         for (const { directory } of this.entries) {
@@ -76,7 +76,7 @@
     }
 
     /** Operators take a data centre out, or back. */
-    setOut(dataCentre: string, out: boolean): void {
+    setDataCentreOut(dataCentre: string, out: boolean): void {
         const revision = ++this.revision;
         const change = { name: dataCentre, revision, value: true as const, removed: !out };
         for (const { directory } of this.entries) {
@@ -85,59 +85,62 @@
     }
 
     /** Datagrams of these entries are lost, or arrive again. */
-    cut(entries: readonly EntryCore[], lost: boolean): void {
+    setPartitioned(entries: readonly EntryCore[], partitioned: boolean): void {
         for (const { address } of entries) {
-            if (lost) {
-                this.cutOff.add(address);
+            if (partitioned) {
+                this.partitionedAddresses.add(address);
             }
             else {
-                this.cutOff.delete(address);
+                this.partitionedAddresses.delete(address);
             }
         }
     }
 
-    private start(self: PeerIdentity, dataCentre: string): EntryCore {
-        const { clock, random, fleet, policy, shared } = this.parts;
+    private startEntry(self: PeerIdentity, dataCentre: string): EntryCore {
+        const { clock, random, fleet, policy, sharesLoads } = this.options;
         const entry = new EntryCore({
             clock,
             random,
-            log: part => this.partLog(self.id, part),
+            log: part => this.createPartLog(self.id, part),
             self,
             dataCentre,
-            channel: this.channel(self.address),
+            channel: this.createChannel(self.address),
             endpoints: fleet,
             memory: fleet,
             policy,
-            sharesLoads: shared,
-            repeatLimits: () => repeatLimits,
-            coldLimits: () => coldLimits,
+            sharesLoads,
+            repeatLimits: () => retryLimits,
+            coldLimits: () => coldStartLimits,
             known: () => ({ [StateKind.Endpoints]: this.revision }),
             readAges: () => ({ [StateKind.Endpoints]: 0 }),
             reads: () => true,
             stop: () => undefined,
         });
-        this.byAddress.set(self.address, entry);
+        this.entryByAddress.set(self.address, entry);
         return entry;
     }
 
-    private channel(from: string): PeerChannelPort {
-        const { clock, random, delay, loss } = this.parts;
+    private createChannel(from: string): PeerChannelPort {
+        const { clock, random, delay, loss } = this.options;
         return {
             send: (addresses: readonly string[], packet: PeerPacket) => {
                 for (const address of addresses) {
-                    this.sent++;
-                    if (random.next() >= loss && !this.cutOff.has(from) && !this.cutOff.has(address)) {
-                        clock.after(delay, () => this.byAddress.get(address)?.peers.receive(packet));
+                    this.sentDatagramCount++;
+                    if (
+                        random.next() >= loss && !this.partitionedAddresses.has(from)
+                        && !this.partitionedAddresses.has(address)
+                    ) {
+                        clock.after(delay, () => this.entryByAddress.get(address)?.peers.receive(packet));
                     }
                 }
             },
         };
     }
 
-    private partLog(entry: string, part: string): PartLog {
-        const take = (message: string, fields: Record<string, unknown> = {}) => {
-            this.parts.lines.push({ time: this.parts.clock.now(), entry, message: `${part}: ${message}`, fields });
+    private createPartLog(entry: string, part: string): PartLog {
+        const recordLine = (message: string, fields: Record<string, unknown> = {}) => {
+            this.options.lines.push({ time: this.options.clock.now(), entry, message: `${part}: ${message}`, fields });
         };
-        return { info: take, warn: take, error: take };
+        return { info: recordLine, warn: recordLine, error: recordLine };
     }
 }
--- a/src/replay/simulatedFleet.ts
+++ b/src/replay/simulatedFleet.ts
@@ -12,16 +12,16 @@
 import { type EndpointRecord, EndpointState, type EngineProfile } from "../types/routing.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 import { describeError } from "../utils/errors.js";
-import { engineProfileOf, type Pattern } from "./pattern.js";
+import { createEngineProfile, type Pattern } from "./pattern.js";
 
 /** The service of all engines. */
-export const replayService = "models";
+export const replayServiceName = "models";
 
 /** One engine with its address and what is wrong with it. */
 export interface SimulatedEndpoint {
     record: EndpointRecord;
     engine: PassEngine;
-    silent: boolean;
+    isUnresponsive: boolean;
     /** Requests a second that its answers name. */
     limitPerSecond: number | undefined;
 }
@@ -32,7 +32,7 @@
     at: Milliseconds;
 }
 
-const noBytes = Buffer.alloc(0);
+const emptyBytes = Buffer.alloc(0);
 
 /** All engines of a replay. */
 export class SimulatedFleet implements EndpointPort, MemoryPort {
@@ -40,17 +40,17 @@
     readonly endpoints: readonly SimulatedEndpoint[];
     readonly arrivals: EndpointArrival[] = [];
     /** How much of a prompt each request that is in progress has been promised as events. */
-    private readonly eventsOf = new Map<string, number>();
+    private readonly eventCountByRequest = new Map<string, number>();
 
     constructor(private readonly pattern: Pattern, private readonly clock: Clock) {
         const { count, stallTime } = pattern.engines;
         const { dataCentres } = pattern.pattern;
-        const profile = engineProfileOf(pattern);
+        const profile = createEngineProfile(pattern);
         this.profile = profile;
         this.endpoints = [...Array(count).keys()].map(index => ({
             record: {
                 id: `engine-${index}`,
-                service: replayService,
+                service: replayServiceName,
                 address: `10.0.0.${index}:80`,
                 dataCentre: `centre-${index % dataCentres}`,
                 slots: profile.slots,
@@ -59,57 +59,63 @@
                 incarnation: 1,
             },
             engine: new PassEngine(profile, clock, stallTime),
-            silent: false,
+            isUnresponsive: false,
             limitPerSecond: undefined,
         }));
     }
 
     /** Notes how many events the whole answer of a request has. */
-    expect(id: string, events: number): void {
-        this.eventsOf.set(id, events);
+    setEventCount(id: string, eventCount: number): void {
+        this.eventCountByRequest.set(id, eventCount);
     }
 
-    async send(order: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
-        const endpoint = this.at(order.endpoint.address);
-        const { record, engine, silent } = endpoint;
-        if (silent) {
-            await this.clock.sleep(order.connectTimeout, signal);
+    async send(attempt: EndpointAttempt, signal: AbortSignal): Promise<AttemptOutcome> {
+        const endpoint = this.findEndpoint(attempt.endpoint.address);
+        const { record, engine, isUnresponsive } = endpoint;
+        if (isUnresponsive) {
+            await this.clock.sleep(attempt.connectTimeout, signal);
             return { type: "Unreached", reason: "no connection in time", connectionRefused: false };
         }
-        await this.travel();
+        await this.waitForTransit();
         if (engine.isDead) {
-            await this.travel();
+            await this.waitForTransit();
             return { type: "Unreached", reason: "nobody listens", connectionRefused: true };
         }
         if (signal.aborted) {
             return { type: "Broken", reason: "cancelled" };
         }
         this.arrivals.push({ endpoint: record.id, at: this.clock.now() });
-        const run = new Run(this.clock, this.delay, endpoint, signal, helper => this.addressOf(helper));
-        return await run.begin(emit => this.run(order, engine, emit, signal));
+        const response = new SimulatedResponse(
+            this.clock,
+            this.transitDelay,
+            endpoint,
+            signal,
+            helper => this.findAddress(helper),
+        );
+        return await response.start(emit => this.runOnEngine(attempt, engine, emit, signal));
     }
 
     async reserve(
         { id, endpoint, tokens }: MemoryReservation,
-        hold: Milliseconds,
+        holdDuration: Milliseconds,
     ): Promise<ReservationResult> {
-        const { engine, silent } = this.at(endpoint.address);
-        await this.travel();
-        if (silent || engine.isDead) {
+        const { engine, isUnresponsive } = this.findEndpoint(endpoint.address);
+        await this.waitForTransit();
+        if (isUnresponsive || engine.isDead) {
             return ReservationResult.Unknown;
         }
-        const held = engine.reserve(id, tokens, hold, false);
-        await this.travel();
-        return held ? ReservationResult.Held : ReservationResult.Refused;
+        const isHeld = engine.reserve(id, tokens, holdDuration, false);
+        await this.waitForTransit();
+        return isHeld ? ReservationResult.Held : ReservationResult.Refused;
     }
 
     async release({ id, endpoint }: MemoryReservation): Promise<boolean> {
-        await this.travel();
-        this.at(endpoint.address).engine.release(id);
+        await this.waitForTransit();
+        this.findEndpoint(endpoint.address).engine.release(id);
         return true;
     }
 
-    private run(
+    private runOnEngine(
         { request, priority, lastEventId, helpers }: EndpointAttempt,
         engine: PassEngine,
         emit: (event: number) => void,
@@ -118,60 +124,60 @@
         const work = {
             id: request.id,
             promptTokens: request.size?.promptTokens ?? 0,
-            events: this.eventsOf.get(request.id) ?? 1,
+            events: this.eventCountByRequest.get(request.id) ?? 1,
             from: Number(lastEventId ?? 0),
             priority,
             helpers: helpers.map(({ address, reservationId }) => ({
-                engine: this.at(address).engine,
+                engine: this.findEndpoint(address).engine,
                 ticket: reservationId,
             })),
         };
         return engine.run(work, emit, signal);
     }
 
-    private at(address: string): SimulatedEndpoint {
+    private findEndpoint(address: string): SimulatedEndpoint {
         return this.endpoints.find(({ record }) => record.address === address)!;
     }
 
-    private addressOf(engine: PassEngine): string | undefined {
+    private findAddress(engine: PassEngine): string | undefined {
         return this.endpoints.find(endpoint => endpoint.engine === engine)?.record.address;
     }
 
-    private get delay(): Milliseconds {
+    private get transitDelay(): Milliseconds {
         return this.pattern.pattern.delay;
     }
 
-    private travel(): Promise<void> {
-        return this.clock.sleep(this.delay);
+    private waitForTransit(): Promise<void> {
+        return this.clock.sleep(this.transitDelay);
     }
 }
 
 /** The answer of one engine to one order, as it arrives. */
-class Run implements AsyncIterableIterator<StreamEvent> {
-    private readonly arrived: StreamEvent[] = [];
-    private ended = false;
+class SimulatedResponse implements AsyncIterableIterator<StreamEvent> {
+    private readonly receivedEvents: StreamEvent[] = [];
+    private hasEnded = false;
     private error: Error | undefined;
-    private wake: () => void = () => {};
-    private answer: (outcome: AttemptOutcome) => void = () => {};
+    private notifyReader: () => void = () => {};
+    private resolveOutcome: (outcome: AttemptOutcome) => void = () => {};
 
     constructor(
         private readonly clock: Clock,
-        private readonly delay: Milliseconds,
+        private readonly transitDelay: Milliseconds,
         private readonly endpoint: SimulatedEndpoint,
         signal: AbortSignal,
-        private readonly addressOf: (engine: PassEngine) => string | undefined,
+        private readonly findAddress: (engine: PassEngine) => string | undefined,
     ) {
         signal.addEventListener("abort", () => this.end(new StreamBrokenError("cancelled")), { once: true });
     }
 
     /** Starts `run`, and resolves with the head of the answer or with what became of it before. */
-    begin(run: (emit: (event: number) => void) => Promise<void>): Promise<AttemptOutcome> {
+    start(run: (emit: (event: number) => void) => Promise<void>): Promise<AttemptOutcome> {
         return new Promise(resolve => {
-            this.answer = resolve;
-            const started = async () => await run(event => this.later(() => this.take(event)));
-            started().then(
-                () => this.later(() => this.end()),
-                (error: Error) => this.later(() => this.fail(error)),
+            this.resolveOutcome = resolve;
+            const runEngine = async () => await run(event => this.afterTransit(() => this.receiveEvent(event)));
+            runEngine().then(
+                () => this.afterTransit(() => this.end()),
+                (error: Error) => this.afterTransit(() => this.fail(error)),
             );
         });
     }
@@ -182,18 +188,18 @@
 
     async next(): Promise<IteratorResult<StreamEvent>> {
         for (;;) {
-            const event = this.arrived.shift();
+            const event = this.receivedEvents.shift();
             if (event) {
                 return { done: false, value: event };
             }
             if (this.error) {
                 throw this.error;
             }
-            if (this.ended) {
+            if (this.hasEnded) {
                 return { done: true, value: undefined };
             }
             await new Promise<void>(resolve => {
-                this.wake = resolve;
+                this.notifyReader = resolve;
             });
         }
     }
@@ -203,26 +209,26 @@
         return Promise.resolve({ done: true, value: undefined });
     }
 
-    private later(action: () => void): void {
-        this.clock.after(this.delay, action);
+    private afterTransit(action: () => void): void {
+        this.clock.after(this.transitDelay, action);
     }
 
-    private take(event: number): void {
-        this.arrived.push({ id: String(event), bytes: noBytes });
-        this.answer({
+    private receiveEvent(event: number): void {
+        this.receivedEvents.push({ id: String(event), bytes: emptyBytes });
+        this.resolveOutcome({
             type: "Streaming",
             head: { status: 200, headers: [] },
             events: this,
             limitPerSecond: this.endpoint.limitPerSecond,
         });
-        this.wake();
+        this.notifyReader();
     }
 
     private fail(error: Error): void {
-        const refused = error instanceof EngineFullError;
-        const atFault = error instanceof HelperLostError ? this.addressOf(error.helper) : undefined;
-        this.answer(
-            refused
+        const isRefused = error instanceof EngineFullError;
+        const atFault = error instanceof HelperLostError ? this.findAddress(error.helper) : undefined;
+        this.resolveOutcome(
+            isRefused
                 ? {
                     type: "Refused",
                     reason: RefusalReason.Busy,
@@ -236,9 +242,9 @@
     }
 
     private end(error?: Error): void {
-        this.ended = true;
+        this.hasEnded = true;
         this.error ??= error;
-        this.wake();
-        this.answer({ type: "Broken", reason: "ended" });
+        this.notifyReader();
+        this.resolveOutcome({ type: "Broken", reason: "ended" });
     }
 }
