--- a/__tests__/commands.test.ts
+++ b/__tests__/commands.test.ts
@@ -1,4 +1,4 @@
-/** The programs as a shell sees them: exit codes, one line for each fault, help with examples. */
+/** Runs the programs from a shell: exit codes, one line for each error, help with examples. */
 import { spawnSync } from "node:child_process";
 import { readFileSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -11,7 +11,7 @@
 const run = (name: string, ...flags: string[]) =>
     spawnSync(process.execPath, [bin(name), ...flags], { encoding: "utf8", env: { ...process.env, COLUMNS: "200" } });
 
-test("bad settings end with 2 and one line", () => {
+test("invalid settings exit with 2 and print one line", () => {
     const file = join(tmpdir(), "dandelionramp-bad.ini");
     writeFileSync(file, "[instance]\nid = entry-1\nzone = north\n");
     const { status, stderr } = run("dandelionramp-entry", "--settings", file);
@@ -20,19 +20,19 @@
     expect(stderr).toContain("[instance] dataCentre: expected text");
 });
 
-test("missing settings file ends with 2", () => {
+test("missing settings file exits with 2", () => {
     const { status, stderr } = run("dandelionramp-standin", "engine", "--settings", "nowhere.ini");
     expect(status).toBe(2);
     expect(stderr).toContain("nowhere.ini: can't be read");
 });
 
-test("bad mix ends with 2", () => {
+test("invalid mix exits with 2", () => {
     const { status, stderr } = run("dandelionramp-load", "--target", "127.0.0.1:1", "--mix", "many");
     expect(status).toBe(2);
     expect(stderr).toContain("--mix: expected tokens:weight");
 });
 
-test("faulty pattern ends with 2 and names file, section and field", () => {
+test("invalid pattern exits with 2 and names file, section and field", () => {
     const pattern = readFileSync(
         fileURLToPath(new URL("../examples/patterns/callers-press.ini", import.meta.url)),
         "utf8",
@@ -52,7 +52,7 @@
     expect(outcome("[engines]", "[motors]")).toContain(file);
 });
 
-test("replay reports by kind and reason, the same each time", () => {
+test("replay prints the same report by kind and reason each time", () => {
     const file = fileURLToPath(new URL("../examples/patterns/callers-press.ini", import.meta.url));
     const plot = join(tmpdir(), "dandelionramp-replay.svg");
     const first = run("dandelionramp-load", "replay", file, "--baseline", "leastOutstanding", "--plot", plot);
@@ -64,16 +64,16 @@
     expect(again.stdout).toBe(first.stdout);
 });
 
-test("losses of logs that aren't there", () => {
+test("losses of missing log files exit with 2", () => {
     const { status, stderr } = run("dandelionramp", "losses", "nowhere.log");
     expect(status).toBe(2);
     expect(stderr).toContain("the logs can't be read");
 });
 
-test("an operator's command to nobody fails", () => {
+test("operator command to an unreachable entry exits with 1", () => {
     const { status, stderr } = run("dandelionramp", "status", "--entry", "127.0.0.1:1");
     expect(status).toBe(1);
-    expect(stderr).toContain("the entry at 127.0.0.1:1 does not answer");
+    expect(stderr).toContain("the entry at 127.0.0.1:1 does not respond");
 });
 
 for (
--- a/__tests__/forwarding/replay.test.ts
+++ b/__tests__/forwarding/replay.test.ts
@@ -1,4 +1,4 @@
-/** Load patterns in simulated time: the same result for the same seed, and what callers get at the worst load. */
+/** Replays of load patterns in simulated time: reproducible results, and the share of requests in time under peak load. */
 import path from "node:path";
 import { expect, test } from "vitest";
 import { type Pattern, readPattern } from "../../src/replay/pattern.js";
@@ -13,7 +13,7 @@
 
 const seeds = [1, 2, 3];
 
-const playAll = async (name: string, changes: Partial<ReplayOptions> = {}): Promise<ReplayResult[]> => {
+const replayAll = async (name: string, changes: Partial<ReplayOptions> = {}): Promise<ReplayResult[]> => {
     const results: ReplayResult[] = [];
     for (const seed of seeds) {
         results.push(await replay(patternOf(name), { seed, ...changes }));
@@ -21,7 +21,7 @@
     return results;
 };
 
-const inTime = (results: readonly ReplayResult[], kind: string): number => {
+const inTimeRatio = (results: readonly ReplayResult[], kind: string): number => {
     const row = createReplayReport(results).kinds.find(found => found.kind === kind)!;
     return row.outcomes["in time"] / row.requests;
 };
@@ -36,102 +36,107 @@
 });
 
 test("first events come when they were predicted", async () => {
-    // One entry places all, so that nothing is unheard. Its predictions may be off by a pass; a count of reads in turn is off
-    // by the reads that share a pass, and by the pass that runs.
+    // A single entry places all requests, so no placement is in transit. Its predictions may be off by one pass. An estimate
+    // that only counts queued prefills would be off by the prefills that share a pass, and by the running pass.
     const { lines } = await replay(patternOf("turning-mix"), { seed: 1, entries: 1 });
-    const due = new Map<unknown, number>();
+    const predictedByRequest = new Map<unknown, number>();
     const errors: number[] = [];
     for (const { message, fields } of lines) {
         const { requestId, predicted, send, firstEventAfter } = fields as Record<string, number | undefined>;
         if (message === "request: Sent." && send === 1) {
-            due.set(requestId, predicted!);
+            predictedByRequest.set(requestId, predicted!);
         }
         if (message === "request: Streamed." && send === 1) {
-            errors.push(Math.abs(firstEventAfter! - due.get(requestId)!));
+            errors.push(Math.abs(firstEventAfter! - predictedByRequest.get(requestId)!));
         }
     }
-    const aPass = 60;
+    const passDuration = 60;
     expect(errors.length).toBeGreaterThan(1_500);
-    expect(errors.filter(error => error < aPass).length / errors.length).toBeGreaterThan(0.9);
+    expect(errors.filter(error => error < passDuration).length / errors.length).toBeGreaterThan(0.9);
 });
 
 test("mix that turns over every ten seconds", async () => {
-    // Long prompts make way for short ones and come back. Placed by counts, a short prompt meets a read of a second now and
-    // then, and long ones wait for one another.
-    const results = await playAll("turning-mix");
-    expect(inTime(results, "short")).toBeGreaterThan(0.95);
+    // The mix alternates between long and short prompts. With placement by request count, a short prompt sometimes waits for a
+    // prefill of a second, and long prompts wait for one another.
+    const results = await replayAll("turning-mix");
+    expect(inTimeRatio(results, "short")).toBeGreaterThan(0.95);
     expect(createReplayReport(results).share).toBeGreaterThan(0.9);
 });
 
 test("mix that turns over, placed by counts", async () => {
-    // Guards against a pattern that any placing would serve.
-    const counted = await playAll("turning-mix", { policy: PlacementPolicy.LeastOutstanding });
-    expect(createReplayReport(counted).share).toBeLessThan(0.85);
+    // Guards against a pattern so light that any placement policy would serve it.
+    const results = await replayAll("turning-mix", { policy: PlacementPolicy.LeastOutstanding });
+    expect(createReplayReport(results).share).toBeLessThan(0.85);
 });
 
 test("data centre lost when the mix turns over", async () => {
-    // A third of the endpoints is gone just when short prompts come, and the longest, which can't be in time any more, are
-    // begun anew.
-    const results = await playAll("centre-lost-at-turn");
-    expect(inTime(results, "short")).toBeGreaterThan(0.7);
+    // A third of the endpoints is lost just when the short prompts arrive, while the longest prompts, which can't meet their
+    // targets any more, are restarted.
+    const results = await replayAll("centre-lost-at-turn");
+    expect(inTimeRatio(results, "short")).toBeGreaterThan(0.7);
     expect(results.some(({ lines }) => lines.some(({ message }) => message === "request: Postponed."))).toBe(true);
 });
 
 test("silent endpoint is left only for one that answers before the caller gives up", async () => {
-    // Much is asked for, and an endpoint is silent for half of what a caller waits. Sent on to another one that is as busy, the
-    // request loses its place, and its caller gives up just the same.
+    // Under high load, an endpoint sends nothing for half of the caller's patience. If the request moves to an endpoint that is
+    // just as busy, it loses its place in the queue, and its caller gives up anyway.
     const patience = 2_000;
-    const results = await playAll("centre-lost-at-turn");
-    let left = 0;
-    let leftInVain = 0;
+    const results = await replayAll("centre-lost-at-turn");
+    let abandonedCount = 0;
+    let abandonedInVainCount = 0;
     for (const { lines } of results) {
-        const silent = new Set<unknown>();
+        const stalledRequests = new Set<unknown>();
         for (const { message, fields } of lines) {
-            if (message === "request: An endpoint broke off." && String(fields.reason).startsWith("nothing received for")) {
-                silent.add(fields.requestId);
+            if (
+                message === "request: An endpoint broke off."
+                && String(fields.reason).startsWith("nothing received for")
+            ) {
+                stalledRequests.add(fields.requestId);
             }
-            if (message === "request: Sent." && silent.delete(fields.requestId) && fields.target === 300) {
-                left++;
+            if (message === "request: Sent." && stalledRequests.delete(fields.requestId) && fields.target === 300) {
+                abandonedCount++;
                 expect(Number(fields.elapsed) + Number(fields.predicted)).toBeLessThanOrEqual(patience);
             }
-            // Others that left in the same millisecond may have taken the place that it was left for.
-            leftInVain += message === "request: A request failed." && silent.has(fields.requestId) ? 1 : 0;
+            // Another request that moved in the same millisecond may have taken the free place.
+            abandonedInVainCount += message === "request: A request failed." && stalledRequests.has(fields.requestId)
+                ? 1
+                : 0;
         }
     }
-    expect(left).toBeGreaterThan(10);
-    expect(leftInVain).toBeLessThan(left / 10);
+    expect(abandonedCount).toBeGreaterThan(10);
+    expect(abandonedInVainCount).toBeLessThan(abandonedCount / 10);
 });
 
 test("endpoints that turn slow", async () => {
-    // One endpoint in seven takes seven times as long, though it seems well. It must not get its full part of the requests.
-    const results = await playAll("silent-endpoints");
-    expect(inTime(results, "short")).toBeGreaterThan(0.85);
+    // One endpoint in seven takes 7.5 times as long, though its health checks pass. It must not get its full share of requests.
+    const results = await replayAll("silent-endpoints");
+    expect(inTimeRatio(results, "short")).toBeGreaterThan(0.85);
 });
 
 test("forty entries choose different endpoints", async () => {
-    // Dozens of entries hear of one another's placements some twenty milliseconds later. With the same belief and all
-    // endpoints in view, they take the same one in that time.
+    // Dozens of entries receive one another's placements about 20 ms late. With equal estimates for all endpoints, they would
+    // all choose the same endpoint in that time.
     const pattern = patternOf("turning-mix");
     const result = await replay({ ...pattern, pattern: { ...pattern.pattern, seconds: 12 } }, { seed: 1, entries: 40 });
-    expect(inTime([result], "short")).toBeGreaterThan(0.9);
+    expect(inTimeRatio([result], "short")).toBeGreaterThan(0.9);
 });
 
 test("one customer's rush changes nothing that the others send", () => {
-    // Guards against a comparison of two days that differ by more than the rush.
+    // Guards against comparing two replays that differ by more than the rush.
     const pattern = patternOf("one-customer-rushes");
-    const others = (played: Pattern) =>
+    const arrivalsOfOthers = (played: Pattern) =>
         generateReplayArrivals(played, 1).filter(({ customer }) => customer !== "customer-2").map(({ at, kind }) => ({
             at,
             kind,
         }));
-    expect(others(pattern)).toEqual(others({ ...pattern, rush: {} }));
+    expect(arrivalsOfOthers(pattern)).toEqual(arrivalsOfOthers({ ...pattern, rush: {} }));
     expect(generateReplayArrivals(pattern, 1).length).toBeGreaterThan(
         generateReplayArrivals({ ...pattern, rush: {} }, 1).length + 100,
     );
 });
 
 /** Streams that were cut for `reason`. */
-const cutsFor = (results: readonly ReplayResult[], reason: RegExp): ReplayLogLine[] =>
+const streamsCutBecause = (results: readonly ReplayResult[], reason: RegExp): ReplayLogLine[] =>
     results.flatMap(({ lines }) =>
         lines.filter(({ message, fields }) =>
             message === "request: A stream was cut." && reason.test(String(fields.reason))
@@ -139,19 +144,21 @@
     );
 
 test("begun stream is not given up while its caller waits", async () => {
-    // It breaks off, and the next endpoint would begin late. A request without an answer is refused then and asked again; the
-    // caller of a stream would be left with half an answer.
-    const results = await playAll("callers-press");
+    // The stream breaks, and the next endpoint would start late. A request without a response is rejected then and can be
+    // retried, but the caller of a stream would be left with a partial response.
+    const results = await replayAll("callers-press");
     const cuts = results.flatMap(({ lines }) =>
         lines.filter(({ message }) => message === "request: A stream was cut.")
     );
     expect(cuts.length).toBeGreaterThan(0);
-    expect(cuts.filter(({ fields }) => /^the first event is predicted to take/.test(String(fields.reason)))).toEqual([]);
+    expect(cuts.filter(({ fields }) => /^the first event is predicted to take/.test(String(fields.reason)))).toEqual(
+        [],
+    );
 });
 
 test("long stream whose next endpoint is dead goes to another one", async () => {
-    // Callers wait two seconds for an event. Counted from the request's arrival, all streams of more than that are given up at
-    // the first endpoint that can't be reached.
-    const results = await playAll("endpoints-lost");
-    expect(cutsFor(results, /^no endpoint could be reached/)).toEqual([]);
+    // Callers wait two seconds for the next event. If that time were counted from the request's arrival, every longer stream
+    // would be aborted at the first unreachable endpoint.
+    const results = await replayAll("endpoints-lost");
+    expect(streamsCutBecause(results, /^no endpoint could be reached/)).toEqual([]);
 });
--- a/__tests__/load.test.ts
+++ b/__tests__/load.test.ts
@@ -1,4 +1,4 @@
-/** The load tool: the same arrivals for the same seed, and a judgement that misses nothing. */
+/** The load tool: seeded arrivals, and detection of every incomplete or wrong response. */
 import { afterAll, beforeAll, expect, test } from "vitest";
 import { listen, Listener, systemClock } from "../src/internal.js";
 import { ArrivalPlan, planArrivals } from "../src/load/arrivals.js";
@@ -20,51 +20,51 @@
     expect([...planArrivals({ ...plan, seed: 4 })]).not.toEqual([...planArrivals(plan)]);
 });
 
-test("exact counts", () => {
+test("weights of an exact mix are counts", () => {
     const lengths = [...planArrivals({ ...plan, exact: true })].map(arrival => arrival.promptTokens);
     expect(lengths.filter(length => length === 100)).toHaveLength(9);
     expect(lengths.filter(length => length === 1_000)).toHaveLength(1);
 });
 
 const prompt = "a form [[tokens=8]]";
-const whole = expectedAnswer(prompt, 8);
-let answer = "";
+const completeText = expectedAnswer(prompt, 8);
+let responseBody = "";
 let server: Listener;
 
 beforeAll(async () => {
-    server = await listen("127.0.0.1:0", (...[, response]) => Promise.resolve(void response.end(answer)));
+    server = await listen("127.0.0.1:0", (...[, response]) => Promise.resolve(void response.end(responseBody)));
 });
 
 afterAll(() => server.close());
 
-const chunk = (text: string): string => `data: ${JSON.stringify({ choices: [{ text }] })}\n\n`;
+const eventOf = (text: string): string => `data: ${JSON.stringify({ choices: [{ text }] })}\n\n`;
 
-const judged = async (stream: string): Promise<CallRecord> => {
-    answer = stream;
+const callWithStream = async (stream: string): Promise<CallRecord> => {
+    responseBody = stream;
     const options = { key: "k", model: "m", answerTokens: 8, timeoutMilliseconds: 5_000 };
     return callOnce(systemClock, server.address, { index: 0, at: 0, promptTokens: 5, prompt }, options);
 };
 
 for (
     const [name, stream, outcome] of [
-        ["whole", chunk(whole) + "data: [DONE]\n\n", CallOutcome.Whole],
-        ["cut", chunk(whole), CallOutcome.Cut],
-        ["falsely whole", chunk(whole.slice(0, 9)) + "data: [DONE]\n\n", CallOutcome.FalselyWhole],
-        ["crossed", chunk("another answer") + "data: [DONE]\n\n", CallOutcome.Crossed],
+        ["whole", eventOf(completeText) + "data: [DONE]\n\n", CallOutcome.Whole],
+        ["cut", eventOf(completeText), CallOutcome.Cut],
+        ["falsely whole", eventOf(completeText.slice(0, 9)) + "data: [DONE]\n\n", CallOutcome.FalselyWhole],
+        ["crossed", eventOf("another answer") + "data: [DONE]\n\n", CallOutcome.Crossed],
         [
             "refused in the stream",
-            chunk(whole) + "event: error\ndata: {\"execution\":\"ran\"}\n\n",
+            eventOf(completeText) + "event: error\ndata: {\"execution\":\"ran\"}\n\n",
             CallOutcome.Refused,
         ],
     ] as const
 ) {
-    test(`answer that is ${name}`, async () => {
-        expect((await judged(stream)).outcome).toBe(outcome);
+    test(`response that is ${name}`, async () => {
+        expect((await callWithStream(stream)).outcome).toBe(outcome);
     });
 }
 
-test("summary by length", async () => {
-    const record = await judged(chunk(whole) + "data: [DONE]\n\n");
+test("summary of times by prompt length", async () => {
+    const record = await callWithStream(eventOf(completeText) + "data: [DONE]\n\n");
     const late = { ...record, promptTokens: 50_000, firstTokenMilliseconds: 700, totalMilliseconds: 9_000 };
     const report = summarize([record, late], 1, 5_000);
     expect(report).toMatchObject({ requests: 2, late: 1, outcomes: { whole: 2 } });
--- a/__tests__/losses.test.ts
+++ b/__tests__/losses.test.ts
@@ -1,4 +1,4 @@
-/** What requests lost, from the entries' lines alone. */
+/** Reasons for late and failed requests, found from the entries' log lines alone. */
 import { writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import path from "node:path";
@@ -31,41 +31,43 @@
 const streamed = (firstEventAfter: number, longestPause = 50, fields: Record<string, unknown> = {}): LogLine =>
     line(firstEventAfter + 1_000, "Streamed.", { firstEventAfter, longestPause, ...fields });
 
-const reasonOf = (...lines: LogLine[]): LossReason | undefined => findLosses(buildTraces(lines))[0]?.reason;
+const firstReason = (...lines: LogLine[]): LossReason | undefined => findLosses(buildTraces(lines))[0]?.reason;
 
-test("answer in time lost nothing", () => {
-    expect(reasonOf(sent(0), streamed(200))).toBeUndefined();
+test("response in time is no loss", () => {
+    expect(firstReason(sent(0), streamed(200))).toBeUndefined();
 });
 
-test("late first event, by what was predicted", () => {
-    expect(reasonOf(sent(0, { predicted: 900, slotWait: 700 }), streamed(900))).toBe(LossReason.SlotWait);
-    expect(reasonOf(sent(0, { predicted: 900, readWait: 700 }), streamed(900))).toBe(LossReason.PrefillWait);
-    expect(reasonOf(sent(0, { predicted: 900 }), streamed(900))).toBe(LossReason.OwnPrefill);
-    expect(reasonOf(sent(0), streamed(900))).toBe(LossReason.Unpredicted);
+test("late first event is attributed to the largest part of the prediction", () => {
+    expect(firstReason(sent(0, { predicted: 900, slotWait: 700 }), streamed(900))).toBe(LossReason.SlotWait);
+    expect(firstReason(sent(0, { predicted: 900, readWait: 700 }), streamed(900))).toBe(LossReason.PrefillWait);
+    expect(firstReason(sent(0, { predicted: 900 }), streamed(900))).toBe(LossReason.OwnPrefill);
+    expect(firstReason(sent(0), streamed(900))).toBe(LossReason.Unpredicted);
 });
 
-test("late behind a long read that wasn't foreseen", () => {
+test("late first event behind an unpredicted long prefill", () => {
     const long = { requestId: "long", promptTokens: 200_000, endpoint: "e-2", helpers: ["e-1"], predicted: 2_000 };
     const lines = [sent(0, long), streamed(2_000, 50, { requestId: "long" }), sent(100), streamed(900)];
     const losses = findLosses(buildTraces(lines)).filter(({ trace }) => trace.id === "r");
     expect(losses.map(({ reason }) => reason)).toEqual([LossReason.UnpredictedPrefillWait]);
 });
 
-test("pauses, repeats, memory and refusals", () => {
-    expect(reasonOf(sent(0), streamed(200, 400))).toBe(LossReason.LongGap);
-    expect(reasonOf(sent(0), sent(500), streamed(200, 400))).toBe(LossReason.LongGapAfterLoss);
-    expect(reasonOf(sent(0), sent(500), streamed(900))).toBe(LossReason.EndpointLost);
-    expect(reasonOf(line(0, "Memory can't be set aside.", {}), sent(500), streamed(900))).toBe(LossReason.MemoryWait);
-    expect(reasonOf(line(0, "A request failed.", { kind: "overloaded" }))).toBe(LossReason.Overloaded);
-    expect(reasonOf(line(0, "A request failed.", { kind: "no-endpoint" }))).toBe(LossReason.NoEndpoint);
-    expect(reasonOf(sent(0))).toBe(LossReason.EntryEnded);
+test("gaps, retries, memory and rejections", () => {
+    expect(firstReason(sent(0), streamed(200, 400))).toBe(LossReason.LongGap);
+    expect(firstReason(sent(0), sent(500), streamed(200, 400))).toBe(LossReason.LongGapAfterLoss);
+    expect(firstReason(sent(0), sent(500), streamed(900))).toBe(LossReason.EndpointLost);
+    expect(firstReason(line(0, "Memory can't be set aside.", {}), sent(500), streamed(900))).toBe(
+        LossReason.MemoryWait,
+    );
+    expect(firstReason(line(0, "A request failed.", { kind: "overloaded" }))).toBe(LossReason.Overloaded);
+    expect(firstReason(line(0, "A request failed.", { kind: "no-endpoint" }))).toBe(LossReason.NoEndpoint);
+    expect(firstReason(sent(0))).toBe(LossReason.EntryEnded);
 });
 
-test("faults of callers aren't losses", () => {
+test("errors of callers aren't losses", () => {
     expect(buildTraces([line(0, "A request failed.", { kind: "unknown-route" })])).toEqual([]);
 });
 
-test("table adds up by reason and by time", () => {
+test("table sums up losses by reason and by time", () => {
     const at = (time: number, id: string) => [
         { ...sent(0, { requestId: id }), time },
         { ...streamed(900, 50, { requestId: id }), time: time + 1_900 },
@@ -77,7 +79,7 @@
     expect(formatLossTable(table)).toContain("75.0%     3 later than predicted");
 });
 
-test("logs of several entries, with lines that are none of theirs", () => {
+test("log files with prefixed lines and lines of other programs", () => {
     const file = path.join(tmpdir(), `dandelionramp-losses-${process.pid}.log`);
     const written = (msg: string, time: string, fields: object = {}) =>
         JSON.stringify({ instance: "entry-1", msg, time, ...fields });
--- a/__tests__/timeline.test.ts
+++ b/__tests__/timeline.test.ts
@@ -1,4 +1,4 @@
-/** One time line over processes whose clocks disagree. */
+/** Merging the timelines of processes whose clocks differ. */
 import { expect, test } from "vitest";
 import { collectPage, formatTimelineHtml, formatTimelineText, mergePages } from "../src/commands/timelineMerge.js";
 import { Clock, listen, sendJson, Timeline } from "../src/internal.js";
@@ -13,8 +13,8 @@
 const serveTimeline = (timeline: Timeline) =>
     listen("127.0.0.1:0", (...[, response]) => Promise.resolve(sendJson(response, 200, timeline.page(0))));
 
-test("offsets are corrected", async () => {
-    // One instance's clock runs an hour ahead. Unmerged, its events would all seem to come after the others.
+test("clock offsets are corrected", async () => {
+    // One instance's clock is an hour ahead. Without correction, all its events would sort after those of the other one.
     const near = { time: 1_000_000 };
     const far = { time: 1_000_000 + 3_600_000 };
     const first = new Timeline("entry-1", clockAt(near));
@@ -35,7 +35,7 @@
     expect(formatTimelineHtml(events)).toContain("<circle");
 });
 
-test("a full ring says what it lost", () => {
+test("full ring buffer counts the events it dropped", () => {
     const timeline = new Timeline("entry-1", clockAt({ time: 0 }));
     for (let index = 0; index < 10_000; index++) {
         timeline.record("callers", "admitted", String(index));
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp-load`: load and experiments against running entries. */
+/** `dandelionramp-load`: sends load to running entries, with optional faults on stand-ins. */
 import { Flags } from "@oclif/core";
 import { writeFileSync } from "node:fs";
 import { SettingsError, systemClock } from "../internal.js";
@@ -28,10 +28,10 @@
     return { at: Number(at), address, fault, value: Number(value ?? 1) };
 };
 
-/** Sends a load, judges every answer against what the stand-in engines must have made, and reports. */
+/** Sends a load, compares every response with the text that the stand-in engines generate, and prints a report. */
 export default class LoadCommand extends ProgramCommand {
     static override description =
-        "Send a seeded open-loop load and judge every answer. Exits with 1 when one is not whole.";
+        "Send a seeded open-loop load and check every response. Exits with 1 unless all are complete and correct.";
     static override examples = [
         "<%= config.bin %> --target 127.0.0.1:8080 --requests 200 --rate 50",
         "<%= config.bin %> --target 127.0.0.1:8080 --target 127.0.0.1:8081 --mix 1000:1000,1000000:20 --exact",
@@ -39,28 +39,31 @@
     ];
     static override flags = {
         target: Flags.string({
-            description: "callers' port of an entry; may be given several times",
+            description: "address of an entry's port for callers; may be given several times",
             multiple: true,
             required: true,
         }),
         key: Flags.string({ description: "customer key", default: "quickstart" }),
-        model: Flags.string({ description: "model to ask", default: "standin" }),
+        model: Flags.string({ description: "model to request", default: "standin" }),
         requests: Flags.integer({ description: "number of requests", default: 100, min: 1 }),
         rate: Flags.integer({
-            description: "mean arrivals a second (Poisson); 0 sends all at once",
+            description: "mean arrivals per second (Poisson process); 0 sends all at once",
             default: 20,
             min: 0,
         }),
-        mix: Flags.string({ description: "prompt tokens and weight of each class", default: "1000:1" }),
-        exact: Flags.boolean({ description: "weights of the mix are exact counts; --requests is not used" }),
-        "answer-tokens": Flags.integer({ description: "tokens of each answer", default: 32, min: 1 }),
+        mix: Flags.string({
+            description: "prompt tokens and weight of each class of prompts, as tokens:weight,...",
+            default: "1000:1",
+        }),
+        exact: Flags.boolean({ description: "use the weights of the mix as exact counts and ignore --requests" }),
+        "answer-tokens": Flags.integer({ description: "output tokens of each request", default: 32, min: 1 }),
         "timeout-ms": Flags.integer({ description: "deadline of each request", default: 60_000, min: 1 }),
-        seed: Flags.integer({ description: "seed of arrivals and lengths", default: 1 }),
+        seed: Flags.integer({ description: "seed of the arrival times and prompt lengths", default: 1 }),
         fault: Flags.string({
-            description: "a fault on a stand-in: milliseconds@control@fault[=value]",
+            description: "fault to inject into a stand-in: milliseconds@control-address@fault[=value]",
             multiple: true,
         }),
-        out: Flags.string({ description: "file for the report as JSON" }),
+        out: Flags.string({ description: "file to write the report to, as JSON" }),
     };
 
     async run(): Promise<void> {
--- a/src/commands/operator/index.ts
+++ b/src/commands/operator/index.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp`: what operators do, through the operators' port of any entry. */
+/** `dandelionramp`: the operators' commands, which work through the operators' port of any entry. */
 import { Args, Flags } from "@oclif/core";
 import { readFileSync } from "node:fs";
 import { configurationKinds, describeError, JsonResponse, requestJson, SettingsError } from "../../internal.js";
@@ -9,12 +9,12 @@
 const failedExitCode = 1;
 const addressFlag = {
     entry: Flags.string({
-        description: "operators' port of an entry, as host:port",
+        description: "address of an entry's port for operators, as host:port",
         default: defaultAddress,
         env: "DANDELIONRAMP_ENTRY",
     }),
 };
-const readFlags = { ...addressFlag, json: Flags.boolean({ description: "print JSON" }) };
+const readFlags = { ...addressFlag, json: Flags.boolean({ description: "print as JSON" }) };
 const kindArgument = Args.string({ description: `one of ${configurationKinds.join(", ")}`, required: true });
 const nameArgument = Args.string({ description: "name of the object", required: true });
 
@@ -24,13 +24,13 @@
             return await requestJson({ address: entry, method, path }, value);
         }
         catch (error) {
-            return this.error(`the entry at ${entry} does not answer: ${describeError(error)}`, {
+            return this.error(`the entry at ${entry} does not respond: ${describeError(error)}`, {
                 exit: failedExitCode,
             });
         }
     }
 
-    /** Prints a read's answer, or ends with its error. */
+    /** Prints the response to a read, or exits with its error. */
     protected printResponse(response: JsonResponse, json: boolean, format: (value: never) => string): void {
         if (response.status !== 200) {
             this.error((response.value as { error: string; }).error, { exit: failedExitCode });
@@ -38,7 +38,7 @@
         this.log(json ? JSON.stringify(response.value, undefined, 4) : format(response.value as never));
     }
 
-    /** Prints what became of a change, or ends with its error. */
+    /** Prints the outcome of a change, or exits with its error. */
     protected printChange(response: JsonResponse, subject: string): void {
         const outcome = response.value as {
             type?: string;
@@ -51,16 +51,22 @@
             return;
         }
         if (outcome.type === "Provisional") {
-            this.log(`${subject}: provisional. The platform is down; it is written when the platform returns.`);
+            this.log(
+                `${subject}: accepted provisionally. The platform is down; the change is written when the platform is back.`,
+            );
             return;
         }
         if (outcome.type === "Conflict") {
             const currentVersion = outcome.current
                 ? `version ${outcome.current.version} is there now`
-                : "it is not there";
-            this.error(`${subject}: refused, somebody else changed it; ${currentVersion}.`, { exit: failedExitCode });
+                : "the object doesn't exist";
+            this.error(`${subject}: rejected, as the object was changed since; ${currentVersion}.`, {
+                exit: failedExitCode,
+            });
         }
-        this.error(outcome.error ?? `${subject}: the entry answered ${response.status}`, { exit: failedExitCode });
+        this.error(outcome.error ?? `${subject}: the entry responded with status ${response.status}`, {
+            exit: failedExitCode,
+        });
     }
 }
 
@@ -108,7 +114,7 @@
 };
 
 class StatusCommand extends OperatorCommand {
-    static override description = "Show what an entry knows: peers, endpoints, requests, provisional outs.";
+    static override description = "Show the state of an entry: peers, endpoints, requests, provisional outs.";
     static override examples = ["<%= config.bin %> status", "<%= config.bin %> status --json"];
     static override flags = readFlags;
 
@@ -143,7 +149,7 @@
 }
 
 class ShowCommand extends OperatorCommand {
-    static override description = "Show one object with its version.";
+    static override description = "Show an object and its version.";
     static override examples = ["<%= config.bin %> show service standin"];
     static override flags = readFlags;
     static override args = { kind: kindArgument, name: nameArgument };
@@ -166,20 +172,20 @@
 const changeFlags = {
     ...addressFlag,
     "expected-version": Flags.integer({
-        description: "version you looked at; the change is refused when somebody wrote since",
+        description: "version that the change is based on; the change is rejected if the object has another version",
         min: 0,
     }),
 };
 
 class SetCommand extends OperatorCommand {
-    static override description = "Write an object. Fields that are left out get their defaults.";
+    static override description = "Write an object. Omitted fields get their defaults.";
     static override examples = [
         "<%= config.bin %> set profile patient --value '{\"defaultTimeoutMilliseconds\": 120000}'",
         "<%= config.bin %> set customer kalahari --file customer.json --expected-version 12",
     ];
     static override flags = {
         ...changeFlags,
-        file: Flags.string({ description: "JSON file with the value", exclusive: ["value"] }),
+        file: Flags.string({ description: "JSON file that contains the value", exclusive: ["value"] }),
         value: Flags.string({ description: "the value as JSON", exclusive: ["file"] }),
     };
     static override args = { kind: kindArgument, name: nameArgument };
@@ -260,7 +266,7 @@
         protected override readonly kind = kind;
     };
 
-/** The commands by name. */
+/** Commands by name. */
 export const commands = {
     losses: LossesCommand,
     status: StatusCommand,
@@ -271,9 +277,13 @@
     "data-centre:out": restrictionCommand(
         Direction.Out,
         "dataCentre",
-        "Take a data centre out: no new work after seconds.",
+        "Take a data centre out: within seconds, it gets no new work.",
     ),
     "data-centre:in": restrictionCommand(Direction.In, "dataCentre", "Bring a data centre back in."),
-    "instance:out": restrictionCommand(Direction.Out, "instance", "Take an instance out: no new work after seconds."),
+    "instance:out": restrictionCommand(
+        Direction.Out,
+        "instance",
+        "Take an instance out: within seconds, it gets no new work.",
+    ),
     "instance:in": restrictionCommand(Direction.In, "instance", "Bring an instance back in."),
 };
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -1,20 +1,20 @@
-/** Runs one of the programs through oclif; the package has several, each with its own commands. */
+/** Runs the package's programs through oclif. Each program has its own commands. */
 import { Command, execute } from "@oclif/core";
 import { createRequire } from "node:module";
 import { fileURLToPath } from "node:url";
 import { SettingsError } from "../internal.js";
 
-/** Exit code for settings and flags that can't be used. */
+/** Exit code for invalid settings and flags. */
 export const usageExitCode = 2;
 
 const packageRoot = fileURLToPath(new URL("../..", import.meta.url));
 
-/** How a program's commands are found. */
+/** Where oclif finds the commands of a program. */
 export type ProgramCommands =
     | { strategy: "single"; target: string; }
     | { strategy: "explicit"; target: string; identifier: string; };
 
-/** Runs the program `bin` with the process's arguments. */
+/** Runs the program `bin` with the command-line arguments of the process. */
 export const runProgram = async (bin: string, commands: ProgramCommands): Promise<void> => {
     const manifest = createRequire(import.meta.url)("../../package.json") as Record<string, unknown>;
     const pjson = { ...manifest, oclif: { bin, commands, topicSeparator: " " } };
@@ -25,7 +25,7 @@
     });
 };
 
-/** Base of the commands: an unusable setting is one line and exit code 2. */
+/** Base class of all commands. Reports a `SettingsError` as one line on standard error, with exit code 2. */
 export abstract class ProgramCommand extends Command {
     protected override async catch(error: Error & { exitCode?: number; }): Promise<unknown> {
         if (error instanceof SettingsError) {
--- a/src/commands/quickstart.ts
+++ b/src/commands/quickstart.ts
@@ -1,4 +1,4 @@
-/** `npm start`: one process with an entry and stand-ins for everything around it. */
+/** `npm start`: runs an entry and stand-ins for the platform, the engines and a plain service in one process. */
 import { readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import {
@@ -70,7 +70,7 @@
     + `-H 'Content-Type: application/json' `
     + `-d '{"model": "standin", "stream": true, "messages": [{"role": "user", "content": "Hello"}]}'\n`;
 
-/** Runs the quick start until SIGTERM or SIGINT. */
+/** Runs the quick start until SIGTERM or SIGINT, then drains the entry. */
 export const runQuickstart = async (): Promise<void> => {
     const settingsFile = fileURLToPath(new URL("quickstart.ini", examples));
     const objects = JSON.parse(readFileSync(new URL("objects.json", examples), "utf8")) as StoredObject[];
--- a/src/commands/replay.ts
+++ b/src/commands/replay.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp-load replay`: a load pattern through the decisions of entries, in simulated time. */
+/** `dandelionramp-load replay`: replays a load pattern through the entries' own code, in simulated time. */
 import { Args, Flags } from "@oclif/core";
 import { writeFileSync } from "node:fs";
 import path from "node:path";
@@ -9,10 +9,10 @@
 import { PlacementPolicy } from "../types/routing.js";
 import { ProgramCommand } from "./program.js";
 
-/** What a replay is compared with. */
+/** Simpler placement strategies that a replay can be compared with. */
 enum Baseline {
     LeastOutstanding = "leastOutstanding",
-    /** Entries don't tell one another what they place. */
+    /** Entries don't publish their placements to one another. */
     UnsharedLoads = "ownView",
 }
 
@@ -25,25 +25,25 @@
     }
 };
 
-/** Plays a pattern and reports. The same seeds give the same report. */
+/** Replays a pattern and prints a report. The same seeds give the same report. */
 export default class ReplayCommand extends ProgramCommand {
     static override description =
-        "Play a load pattern through the real decisions of entries, in simulated time, without sockets.";
+        "Replay a load pattern through the production code of the entries, in simulated time and without sockets.";
     static override examples = [
         "<%= config.bin %> replay examples/patterns/turning-mix.ini --seeds 5",
         "<%= config.bin %> replay examples/patterns/endpoints-lost.ini --baseline leastOutstanding --plot lost.svg",
     ];
-    static override args = { pattern: Args.string({ description: "pattern file in INI", required: true }) };
+    static override args = { pattern: Args.string({ description: "pattern file in INI format", required: true }) };
     static override flags = {
-        seeds: Flags.integer({ description: "number of seeds to play", default: 1, min: 1 }),
+        seeds: Flags.integer({ description: "number of seeds to replay", default: 1, min: 1 }),
         seed: Flags.integer({ description: "the first seed", default: 1, min: 0 }),
-        entries: Flags.integer({ description: "number of entries, in place of the pattern's", min: 1 }),
+        entries: Flags.integer({ description: "number of entries; overrides the pattern", min: 1 }),
         baseline: Flags.option({
             options: Object.values(Baseline),
-            description: "also play a simpler way to decide, for comparison",
+            description: "also replay with a simpler placement strategy, for comparison",
         })(),
-        plot: Flags.string({ description: "file for a picture of the first seed as SVG" }),
-        json: Flags.boolean({ description: "print JSON" }),
+        plot: Flags.string({ description: "file to write a chart of the first seed to, as SVG" }),
+        json: Flags.boolean({ description: "print as JSON" }),
     };
 
     async run(): Promise<void> {
@@ -75,5 +75,5 @@
     }
 }
 
-/** The commands of `dandelionramp-load` beside its main one. */
+/** Subcommands of `dandelionramp-load`. */
 export const commands = { replay: ReplayCommand };
--- a/src/commands/standin/index.ts
+++ b/src/commands/standin/index.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp-standin`: one small stand-in a process. */
+/** `dandelionramp-standin`: runs one stand-in per process. */
 import { Flags } from "@oclif/core";
 import { readFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
@@ -33,7 +33,7 @@
 const platformSchema = z.strictObject({
     listen,
     platform: z.strictObject({
-        /** JSON file with the objects stored from the start, beside the settings file. */
+        /** JSON file with the initially stored objects; a relative path starts at the settings file's folder. */
         objects: setting.text(),
         listLagMilliseconds: setting.wholeNumber().default(500),
         callsPerSecond: setting.wholeNumber(1).default(2_500),
@@ -69,7 +69,7 @@
     }).prefault({}),
 });
 
-const settingsFlag = { settings: Flags.string({ description: "settings file in INI", required: true }) };
+const settingsFlag = { settings: Flags.string({ description: "settings file in INI format", required: true }) };
 
 const readObjects = (settingsFile: string, objectsFile: string): StoredObject[] => {
     const path = resolve(dirname(settingsFile), objectsFile);
@@ -77,13 +77,16 @@
         return JSON.parse(readFileSync(path, "utf8")) as StoredObject[];
     }
     catch (error) {
-        throw new SettingsError(`${settingsFile}: [platform] objects: expected a JSON file, ${objectsFile} is none`, {
-            cause: error,
-        });
+        throw new SettingsError(
+            `${settingsFile}: [platform] objects: expected a JSON file, but ${objectsFile} can't be read as JSON`,
+            {
+                cause: error,
+            },
+        );
     }
 };
 
-/** Puts a stand-in on the platform's list and keeps it there, as the platform's own supervision would. */
+/** Adds a stand-in to the platform's list of instances and refreshes its record, as the platform's supervision would. */
 const keepListed = async (platformAddress: string, record: () => InstanceRecord): Promise<never> => {
     while (true) {
         const path = `/instances/${encodeURIComponent(record().id)}`;
@@ -99,7 +102,7 @@
 };
 
 class PlatformCommand extends ProgramCommand {
-    static override description = "Run a stand-in platform: object API, watches and instance list.";
+    static override description = "Run a stand-in platform with an object API, watches and an instance list.";
     static override examples = ["<%= config.bin %> platform --settings examples/local/platform.ini"];
     static override flags = settingsFlag;
 
@@ -140,7 +143,7 @@
 }
 
 class ServiceCommand extends ProgramCommand {
-    static override description = "Run a stand-in plain service that counts the runs of each key.";
+    static override description = "Run a stand-in plain service that counts the executions of each idempotency key.";
     static override examples = ["<%= config.bin %> service --settings examples/local/service-1.ini"];
     static override flags = settingsFlag;
 
@@ -164,5 +167,5 @@
     }
 }
 
-/** The commands by name. */
+/** Commands by name. */
 export const commands = { engine: EngineCommand, platform: PlatformCommand, service: ServiceCommand };
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp-timeline`: one time line of events over all processes. */
+/** `dandelionramp-timeline`: shows the events of all processes on one timeline. */
 import { Flags } from "@oclif/core";
 import { writeFileSync } from "node:fs";
 import { describeError, systemClock } from "../internal.js";
@@ -33,9 +33,9 @@
     }
 };
 
-/** Collects, merges and prints. A process that doesn't answer is named on standard error and left out. */
+/** Collects, merges and prints events. Skips a process that doesn't respond, with a message on standard error. */
 export default class TimelineCommand extends ProgramCommand {
-    static override description = "Merge the events of all processes into one time line, corrected for clock offsets.";
+    static override description = "Merge the events of all processes into one timeline, corrected for clock offsets.";
     static override examples = [
         "<%= config.bin %> --process 127.0.0.1:8280 --process 127.0.0.1:9101",
         "<%= config.bin %> --process 127.0.0.1:8280 --request 4be1c0de0badf00d",
@@ -43,13 +43,14 @@
     ];
     static override flags = {
         process: Flags.string({
-            description: "operators' port of an entry or control port of a stand-in; may be given several times",
+            description:
+                "address of an entry's port for operators or of a stand-in's control port; may be given several times",
             multiple: true,
             required: true,
         }),
-        request: Flags.string({ description: "only events of this request" }),
-        format: Flags.option({ options: Object.values(Format), default: Format.Text, description: "how to print" })(),
-        out: Flags.string({ description: "file to write instead of standard output" }),
+        request: Flags.string({ description: "show only the events of this request id" }),
+        format: Flags.option({ options: Object.values(Format), default: Format.Text, description: "output format" })(),
+        out: Flags.string({ description: "file to write to instead of standard output" }),
     };
 
     async run(): Promise<void> {
@@ -60,7 +61,7 @@
                 pages.push(await collectPage(systemClock, address));
             }
             catch (error) {
-                this.logToStderr(`${address} does not answer: ${describeError(error)}`);
+                this.logToStderr(`no timeline from ${address}: ${describeError(error)}`);
             }
         }
         const merged = mergePages(pages);
--- a/src/commands/timelineMerge.ts
+++ b/src/commands/timelineMerge.ts
@@ -1,18 +1,18 @@
-/** Merges the time lines of several processes into one, corrected for the offsets of their clocks. */
+/** Merges the timelines of several processes into one, corrected for the offsets of their clocks. */
 import { Clock, Milliseconds, requestJson, TimelineEvent, TimelinePage } from "../internal.js";
 
-/** One process's events with the offset of its clock against the collector's. */
+/** The events of one process, with the offset of its clock from the collector's clock. */
 export interface CollectedPage {
     page: TimelinePage;
     offset: Milliseconds;
 }
 
-/** An event on the collector's clock. */
+/** An event with its time on the collector's clock. */
 export interface MergedEvent extends TimelineEvent {
     correctedTime: Milliseconds;
 }
 
-/** Reads one process. The offset assumes that both ways of the exchange took the same time. */
+/** Fetches the events of one process. The clock offset assumes that request and response took the same time. */
 export const collectPage = async (clock: Clock, address: string, from = 0): Promise<CollectedPage> => {
     const requestedAt = clock.wallTime();
     const response = await requestJson({ address, method: "GET", path: `/events?from=${from}` });
@@ -21,7 +21,7 @@
     return { page, offset: page.wallTime - midpoint };
 };
 
-/** All events in the order of their corrected times; equal times keep each process's own order. */
+/** Merges all events in the order of their corrected times. Events of one process with equal times keep their order. */
 export const mergePages = (pages: readonly CollectedPage[]): MergedEvent[] => {
     const events = pages.flatMap(({ page, offset }) =>
         page.events.map(event => ({ ...event, correctedTime: event.wallTime - offset }))
@@ -37,7 +37,7 @@
         " ",
     );
 
-/** One line an event. */
+/** Formats the events as text, one line per event. */
 export const formatTimelineText = (events: readonly MergedEvent[]): string =>
     events.map(event =>
         `${new Date(event.correctedTime).toISOString()} ${event.process.padEnd(12)} ${describeEvent(event)}`
@@ -55,7 +55,7 @@
 const hueOfPart = (part: string): number =>
     [...part].reduce((sum, character) => sum + character.charCodeAt(0) * 37, 0) % 360;
 
-/** An SVG with one row a process and one dot an event; a dot's title tells what happened. */
+/** Draws the events as SVG, with one row per process and one dot per event. The dot's title describes the event. */
 export const formatTimelineSvg = (events: readonly MergedEvent[]): string => {
     const processes = [...new Set(events.map(event => event.process))].sort();
     const start = events[0]?.correctedTime ?? 0;
@@ -79,7 +79,7 @@
         + `font-family="sans-serif" font-size="12">${rows.join("")}${dots.join("")}${axis}</svg>`;
 };
 
-/** A page with the drawing and the lines below it. */
+/** Formats the events as an HTML page with the drawing and the lines of text below it. */
 export const formatTimelineHtml = (events: readonly MergedEvent[]): string =>
-    `<!doctype html><meta charset="utf-8"><title>Time line</title>${formatTimelineSvg(events)}`
+    `<!doctype html><meta charset="utf-8"><title>Timeline</title>${formatTimelineSvg(events)}`
     + `<pre>${escapeMarkup(formatTimelineText(events))}</pre>\n`;
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -1,19 +1,19 @@
-/** Which requests an experiment sends, and when: the same for the same seed. */
+/** Plans the requests of an experiment and their arrival times. The same seed gives the same plan. */
 import { Milliseconds, Random, seededRandom } from "../internal.js";
 
-/** One class of prompts in a mix. */
+/** One class of prompts in a mix, with its relative frequency. */
 export interface PromptClass {
     promptTokens: number;
     weight: number;
 }
 
-/** What an experiment sends. */
+/** Number, rate and sizes of the requests of an experiment. */
 export interface ArrivalPlan {
     requests: number;
-    /** Mean arrivals a second of the Poisson process; 0 sends everything at once. */
+    /** Mean arrivals per second of the Poisson process; 0 sends all requests at once. */
     ratePerSecond: number;
     mix: readonly PromptClass[];
-    /** Whether the weights are exact counts; `requests` is not used then. */
+    /** Whether the weights are exact counts, in which case `requests` is ignored. */
     exact: boolean;
     answerTokens: number;
     seed: number;
@@ -51,7 +51,7 @@
     return mix.at(-1)!.promptTokens;
 };
 
-/** As many lengths as the mix's weights say, shuffled by the seed. */
+/** Lists each prompt length as often as its weight says, in random order. */
 const exactLengths = (mix: readonly PromptClass[], random: Random): number[] => {
     const lengths = mix.flatMap(part => Array.from({ length: part.weight }, () => part.promptTokens));
     for (let index = lengths.length - 1; index > 0; index--) {
@@ -68,7 +68,7 @@
         : Array.from({ length: plan.requests }, () => pickLength(plan.mix, random));
 };
 
-/** All arrivals of a plan, in order. Prompts are made on demand: a million tokens are four megabytes. */
+/** Generates all arrivals of a plan in order. Prompts are created on demand, as a million tokens take four megabytes. */
 export function* planArrivals(plan: ArrivalPlan): Generator<Arrival, void> {
     const random = seededRandom(plan.seed);
     let at = 0;
--- a/src/load/booker.ts
+++ b/src/load/booker.ts
@@ -1,7 +1,7 @@
-/** A caller that books a place and asks again under the same key until it knows what became of it. */
+/** Books a place, and retries under the same idempotency key until the outcome is known. */
 import { Clock, Milliseconds, readBody, sendRequest } from "../internal.js";
 
-/** What a booking's caller was told last. */
+/** Outcome of a booking, as the last response states it. */
 export enum BookingOutcome {
     Booked = "booked",
     NotRun = "notRun",
@@ -9,18 +9,18 @@
     NoAnswer = "noAnswer",
 }
 
-/** One booking as its caller knows it. */
+/** Record of one booking, as its caller sees it. */
 export interface BookingRecord {
     key: string;
     end: BookingOutcome;
     attempts: number;
-    /** Distinct whole answers: a repeat must get the first one. */
+    /** Distinct complete responses. There must be at most one, as a retry must receive the first response again. */
     answers: string[];
-    /** What the last refusal said. */
+    /** Detail of the last problem response. */
     detail?: string;
 }
 
-/** How to book. */
+/** Options of a booking. */
 export interface BookingOptions {
     customerKey: string;
     timeoutMilliseconds: Milliseconds;
@@ -32,7 +32,7 @@
 const minimumRetryDelayMilliseconds = 300;
 const maximumRetryAfterSeconds = 5;
 
-/** What one attempt brought. */
+/** Result of one attempt. */
 interface AttemptResult {
     end: BookingOutcome;
     text: string;
@@ -71,7 +71,11 @@
     }
 };
 
-/** Books at `targets` in turn, first at the one that `index` names. Never throws. */
+/**
+ * Sends a booking to `targets` in turn, starting at `index`. Never throws.
+ *
+ * A booking that succeeds at the first attempt is sent once more, to check that the retry receives the same response.
+ */
 export const bookOnce = async (
     clock: Clock,
     targets: readonly string[],
@@ -90,7 +94,7 @@
         if (result.end === BookingOutcome.Booked) {
             answers.add(result.text);
         }
-        // Once booked, a caller that asks again and hears less still knows that it is booked.
+        // The booking stays booked even if a later attempt fails or gets no response.
         end = answers.size > 0 ? BookingOutcome.Booked : result.end;
         const retryAfter = Math.min(maximumRetryAfterSeconds, result.retryAfterSeconds) * 1_000;
         await clock.sleep(Math.max(minimumRetryDelayMilliseconds, retryAfter));
--- a/src/load/caller.ts
+++ b/src/load/caller.ts
@@ -1,23 +1,23 @@
-/** One caller of the load tool: sends a request and judges its answer. */
+/** Sends one request of the load tool and checks the response against the expected text. */
 import { createParser } from "eventsource-parser";
 import { Clock, ExchangeError, IncomingResponse, Milliseconds, readBody, sendRequest } from "../internal.js";
 import { expectedAnswer } from "../standins/answer.js";
 import { Arrival } from "./arrivals.js";
 
-/** How a request ended, as its caller saw it. */
+/** Outcome of a request, as its caller sees it. */
 export enum CallOutcome {
     Whole = "whole",
-    /** A problem answer, or an error event in the stream. */
+    /** A problem response, or an error event in the stream. */
     Refused = "refused",
-    /** The connection was cut without an error event. */
+    /** The stream ended without an error event and without its end mark, or the connection failed. */
     Cut = "cut",
-    /** A whole answer that isn't the answer to this request. */
+    /** A complete response whose text belongs to another request. */
     Crossed = "crossed",
-    /** A cut answer that looked whole. */
+    /** A truncated response that ended with the end mark, as if it were complete. */
     FalselyWhole = "falselyWhole",
 }
 
-/** The record of one request. */
+/** Outcome and timing of one request. */
 export interface CallRecord {
     index: number;
     target: string;
@@ -33,7 +33,7 @@
     retryAfterSeconds?: number;
 }
 
-/** How to call. */
+/** Options of a call. */
 export interface CallOptions {
     key: string;
     model: string;
@@ -88,7 +88,7 @@
     return expected.startsWith(state.text) ? CallOutcome.FalselyWhole : CallOutcome.Crossed;
 };
 
-/** Sends one streamed completion and judges it. Never throws. */
+/** Sends one streaming completion request and checks the response. Never throws. */
 export const callOnce = async (
     clock: Clock,
     target: string,
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -1,18 +1,18 @@
-/** Runs an experiment: open-loop arrivals over several entries, with faults at given times. */
+/** Runs an experiment: an open-loop load on several entries, with faults injected at given times. */
 import { Clock, Milliseconds, requestJson } from "../internal.js";
 import { ArrivalPlan, planArrivals } from "./arrivals.js";
 import { callOnce, CallOptions, CallRecord } from "./caller.js";
 
-/** A fault to be set on a stand-in while the load runs. */
+/** A fault that is injected into a stand-in during the load. */
 export interface TimedFault {
     at: Milliseconds;
-    /** Control port of the stand-in. */
+    /** Address of the stand-in's control port. */
     address: string;
     fault: string;
     value: number;
 }
 
-/** An experiment. */
+/** Load, target entries and faults of an experiment. */
 export interface Experiment {
     plan: ArrivalPlan;
     targets: readonly string[];
@@ -26,7 +26,7 @@
     await requestJson({ address: fault.address, method: "POST", path: "/faults" }, order);
 };
 
-/** Sends every request at its time, whatever became of those before, and waits for all of them. */
+/** Sends each request at its arrival time, without waiting for earlier ones, and resolves when all have ended. */
 export const runExperiment = async (clock: Clock, experiment: Experiment): Promise<CallRecord[]> => {
     const startedAt = clock.now();
     const calls: Promise<CallRecord>[] = [];
--- a/src/load/report.ts
+++ b/src/load/report.ts
@@ -1,11 +1,11 @@
-/** What an experiment found: outcomes, and times to first token by prompt length. */
+/** Summarizes an experiment: outcomes, and time to first token by prompt length. */
 import { build, Histogram } from "hdr-histogram-js";
 import { CallOutcome, CallRecord } from "./caller.js";
 
 const highestTrackableMilliseconds = 3_600_000;
 const lengthClassLimits = [2_000, 10_000, 100_000, 500_000, Infinity];
 
-/** Times to first token of one class of prompts, in milliseconds. */
+/** Time to first token of one class of prompt lengths, in milliseconds. */
 export interface LengthRow {
     upToTokens: number | undefined;
     requests: number;
@@ -15,7 +15,7 @@
     highest: number;
 }
 
-/** The report of one run. */
+/** Report of one experiment. */
 export interface LoadReport {
     requests: number;
     outcomes: Record<CallOutcome, number>;
@@ -24,7 +24,7 @@
     seconds: number;
     firstToken: LengthRow[];
     byTarget: Record<string, number>;
-    /** The first few that weren't whole. */
+    /** The first few requests whose response wasn't complete and correct. */
     examples: CallRecord[];
 }
 
@@ -64,7 +64,7 @@
     return rows;
 };
 
-/** Sums up the records of a run that took `seconds`. */
+/** Creates the report of an experiment that took `seconds`. */
 export const summarize = (records: readonly CallRecord[], seconds: number, timeoutMilliseconds: number): LoadReport => {
     const outcomes = Object.fromEntries(Object.values(CallOutcome).map(outcome => [outcome, 0])) as Record<
         CallOutcome,
@@ -88,7 +88,7 @@
     };
 };
 
-/** The report for people. */
+/** Formats the report as text. */
 export const formatLoadReport = (report: LoadReport): string => {
     const lines = [
         `${report.requests} requests in ${report.seconds.toFixed(1)} s, ${report.late} late`,
--- a/src/losses/logFiles.ts
+++ b/src/losses/logFiles.ts
@@ -1,19 +1,19 @@
-/** Reads the lines of entries' logs: JSON with bunyan's fields, with or without something before them. */
+/** Reads the log files of entries: lines of JSON with bunyan's fields, with or without a prefix before the JSON. */
 import { readFileSync } from "node:fs";
 import type { LogLine } from "./requestTraces.js";
 
-/** What was read. */
+/** Result of reading log files. */
 export interface LogReadResult {
     lines: LogLine[];
-    /** Lines that are none of an entry's. */
+    /** Number of lines that aren't log lines of an entry. */
     skipped: number;
-    /** Lines that entries dropped, by their own count. */
+    /** Number of lines that entries report to have dropped. */
     dropped: number;
 }
 
 const droppedMessage = "log: Lines were dropped.";
 
-/** Reads files; throws what the file system says. Times are taken from the first line on. */
+/** Reads log files. Throws the file system's errors. Times are relative to the earliest line. */
 export const readLogFiles = (files: readonly string[]): LogReadResult => {
     const result: LogReadResult = { lines: [], skipped: 0, dropped: 0 };
     for (const file of files) {
--- a/src/losses/reasons.ts
+++ b/src/losses/reasons.ts
@@ -1,10 +1,10 @@
-/** Why a request was late or had no answer, as far as the entries' lines tell. */
+/** Finds the reason why a request was late or had no response, as far as the entries' logs show it. */
 import { match } from "ts-pattern";
 import { FailureKind } from "../core/failures.js";
 import type { Milliseconds } from "../utils/clock.js";
 import { type AttemptTrace, type RequestTrace, TraceEnd } from "./requestTraces.js";
 
-/** What a request lost by. */
+/** Reasons for losses. The texts are printed and written to JSON reports. */
 export enum LossReason {
     SlotWait = "waited for a slot",
     PrefillWait = "waited behind reads",
@@ -26,20 +26,20 @@
     EntryEnded = "its entry ended",
 }
 
-/** A request that lost something. */
+/** A request that was late or had no response. */
 export interface Loss {
     trace: RequestTrace;
     reason: LossReason;
-    /** Whether it was answered, though late. */
+    /** Whether the request had a response, though a late one. */
     isLate: boolean;
 }
 
-/** Between a caller and its entry; what an entry measures is shorter by this much. */
+/** Transit time between a caller and its entry. Times that an entry measures are shorter by this duration. */
 const callerTransitDelay: Milliseconds = 6;
-/** A prompt of so many times the length is a long read to another one. */
+/** A prompt that is this many times as long as another one counts as a long prefill in comparison. */
 const longPrefillFactor = 3;
 
-/** What all requests of the stories lost by, those in time left out. */
+/** Finds the losses of all requests. Requests in time have none. */
 export const findLosses = (traces: readonly RequestTrace[]): Loss[] => {
     const prefills = findPrefills(traces);
     const losses: Loss[] = [];
@@ -116,7 +116,7 @@
             attempts.length > 0 ? LossReason.EndpointLost : LossReason.Overloaded)
         .otherwise(() => LossReason.NotRetryable);
 
-/** Sends by the endpoints that read for them. */
+/** Attempts by the endpoints that prefill for them, helpers included. */
 type PrefillsByEndpoint = ReadonlyMap<
     string,
     readonly { trace: RequestTrace; attempt: AttemptTrace; until: Milliseconds; }[]
@@ -136,7 +136,7 @@
     return prefills;
 };
 
-/** Whether a much longer prompt was read at the same endpoint while the request waited for its first event. */
+/** Whether the same endpoint prefilled a much longer prompt while the request waited for its first event. */
 const waitedBehindLongPrefill = (trace: RequestTrace, attempt: AttemptTrace, prefills: PrefillsByEndpoint): boolean => {
     const { firstEvent = 0, arrivedAt, promptTokens = 0 } = trace;
     return (prefills.get(attempt.endpoint) ?? []).some(prefill =>
--- a/src/losses/requestTraces.ts
+++ b/src/losses/requestTraces.ts
@@ -1,22 +1,22 @@
-/** Requests as the lines of all entries tell of them. */
+/** Reconstructs the course of each request from the log lines of all entries. */
 import { FailureKind } from "../core/failures.js";
 import type { Milliseconds } from "../utils/clock.js";
 
-/** A line of an entry's log. */
+/** A parsed line of an entry's log. */
 export interface LogLine {
     time: Milliseconds;
     entry: string;
-    /** With the prefix of its part. */
+    /** The message with the prefix of the log's part, such as `request: `. */
     message: string;
     fields: Record<string, unknown>;
 }
 
-/** One send, and what an entry believed then. */
+/** One attempt, with the entry's prediction at that time. */
 export interface AttemptTrace {
     time: Milliseconds;
     endpoint: string;
     helpers: readonly string[];
-    /** Predicted time to the first event; of it, waits for a slot and behind what is read before. */
+    /** Predicted time to the first event; includes the wait for a slot and the wait behind other prefills. */
     predicted: Milliseconds;
     slotWait: Milliseconds;
     readWait: Milliseconds;
@@ -29,11 +29,11 @@
     Failed = "failed",
     CallerLeft = "callerLeft",
     Cut = "cut",
-    /** No line tells of its end: its entry ended before. */
+    /** The logs show no end, as the entry itself ended before the request. */
     Open = "open",
 }
 
-/** One request. */
+/** The course of one request. */
 export interface RequestTrace {
     id: string;
     entry: string;
@@ -46,10 +46,10 @@
     waitedForMemory: boolean;
     end: TraceEnd;
     endedAt: Milliseconds;
-    /** Of a stream, and of a plain answer. */
+    /** Time from the arrival to the first event of a stream, or to the plain response. */
     firstEvent: Milliseconds | undefined;
     longestPause: Milliseconds;
-    /** Kind and reason of a failure. */
+    /** The kind of a failure, and the reason of a failure or of a cut stream. */
     failure: string | undefined;
     reason: string | undefined;
 }
@@ -57,7 +57,7 @@
 const asNumber = (value: unknown): number | undefined => typeof value === "number" ? value : undefined;
 const asText = (value: unknown): string | undefined => typeof value === "string" ? value : undefined;
 
-/** Requests that were turned away for what the caller sent; nobody owes them an answer. */
+/** Failures caused by the caller's own request; they aren't counted as losses. */
 const callerErrorKinds = new Set<string>([
     FailureKind.UnknownRoute,
     FailureKind.UnknownCustomer,
@@ -65,7 +65,7 @@
     FailureKind.BodyTooLarge,
 ]);
 
-/** The requests that `lines` tell of, in the order of their arrival. */
+/** Builds the traces of all requests in `lines`, ordered by arrival. */
 export const buildTraces = (lines: readonly LogLine[]): RequestTrace[] => {
     const traceById = new Map<string, RequestTrace>();
     for (const line of lines) {
--- a/src/losses/table.ts
+++ b/src/losses/table.ts
@@ -1,33 +1,33 @@
-/** Losses added up by reason and by time, for people. */
+/** Sums up losses by reason and by time, and formats them as a table. */
 import type { Milliseconds } from "../utils/clock.js";
 import { findLosses, type Loss, LossReason } from "./reasons.js";
 import type { RequestTrace } from "./requestTraces.js";
 
-/** What is lost of a request's value when it is late but answered; customers rate a late answer at a quarter. */
+/** Share of a request's value that is lost by a late response; customers value a late response at a quarter. */
 const lateLossRatio = 0.75;
-/** Prompt tokens that are worth as much as the request itself. */
+/** This many prompt tokens add as much value as the request itself has. */
 const tokensPerUnitValue = 10_000;
-/** Reasons named for each span of time. */
+/** Maximum number of reasons listed for each time span. */
 const reasonsPerSpan = 3;
 const percentPerUnit = 100;
 
-/** One reason. */
+/** Losses for one reason. */
 export interface ReasonRow {
     reason: LossReason;
     requests: number;
-    /** Part of the value of all requests. */
+    /** Lost value, relative to the value of all requests. */
     share: number;
 }
 
-/** One span of time. */
+/** Losses of the requests that arrived in one time span. */
 export interface SpanRow {
     from: Milliseconds;
-    /** Part of the value of the span's requests that was lost, and the reasons that took most. */
+    /** Lost value, relative to the value of the span's requests, and the reasons with the highest losses. */
     share: number;
     reasons: ReasonRow[];
 }
 
-/** The whole table. */
+/** Losses by reason and by time span. */
 export interface LossTable {
     requests: number;
     reasons: ReasonRow[];
@@ -39,7 +39,7 @@
 const sumBy = <Item>(items: readonly Item[], value: (item: Item) => number): number =>
     items.reduce((total, item) => total + value(item), 0);
 
-/** The losses of all stories, in spans of `span` milliseconds. */
+/** Creates the table of the losses of all traces, with time spans of `span` milliseconds. */
 export const createLossTable = (traces: readonly RequestTrace[], span: Milliseconds): LossTable => {
     const losses = findLosses(traces);
     const spanStart = ({ arrivedAt }: RequestTrace) => Math.floor(arrivedAt / span) * span;
@@ -62,7 +62,7 @@
         };
     }).filter(({ requests }) => requests > 0).sort((left, right) => right.share - left.share);
 
-/** The table as text: parts in hundredths, times in seconds. */
+/** Formats the table as text, with shares in percent and times in seconds. */
 export const formatLossTable = ({ requests, reasons, spans }: LossTable): string => {
     const formatShare = (share: number) => (share * percentPerUnit).toFixed(1).padStart(5);
     const lines = [
@@ -70,7 +70,7 @@
         ...reasons.map(({ reason, requests: count, share }) =>
             `${formatShare(share)}% ${String(count).padStart(5)} ${reason}`
         ),
-        "from second: part lost, and what took most",
+        "from second: share lost, and the main reasons",
         ...spans.map(({ from, share, reasons: topReasons }) => {
             const reasonList = topReasons.map(row => `${row.reason} ${formatShare(row.share).trim()}%`).join(", ");
             return `${(from / 1_000).toFixed(0).padStart(6)}: ${formatShare(share)}% ${reasonList}`;
--- a/src/replay/pattern.ts
+++ b/src/replay/pattern.ts
@@ -1,4 +1,4 @@
-/** Load patterns: what arrives, on which engines, and what fails when. Read from INI. */
+/** Reads load patterns from INI files: the requests that arrive, the engines that serve them, and the faults. */
 import * as z from "zod";
 import type { EngineProfile } from "../types/routing.js";
 import { nonNegative } from "../utils/numbers.js";
@@ -16,24 +16,24 @@
         .refine(text => (nonNegative(text) ?? 2) <= 1, "expected a number from 0 to 1")
         .transform(Number);
 
-/** What happens to endpoints, or to entries. */
+/** Faults that a pattern can inject into endpoints or entries. */
 export enum FaultType {
-    /** They crash, and come back cold after the time. */
+    /** The endpoints crash, and come back cold after the fault's duration. */
     Crashed = "lost",
-    /** They take connections and say nothing. */
+    /** The endpoints accept connections but don't respond. */
     Unresponsive = "silent",
-    /** Each pass takes as many times as long as the strength says. */
+    /** Each engine pass takes `strength` times as long. */
     Slow = "slow",
-    /** Their answers name as many requests a second as the strength says, for all entries together. */
+    /** Responses advertise a limit of `strength` requests per second, summed over all entries. */
     Limited = "limited",
-    /** Operators take the data centre out, and back after the time. */
+    /** Operators take the data centre out, and bring it back in after the fault's duration. */
     DataCentreOut = "out",
-    /** Entries hear nothing of one another; all else reaches them. */
+    /** Entries receive no messages from one another; all other traffic reaches them. */
     EntriesPartitioned = "entriesCut",
 }
 
 const requestKindSchema = z.strictObject({
-    /** Requests a second, over all callers. */
+    /** Requests per second, over all callers. */
     rate: nonNegativeNumber(),
     promptTokens: nonNegativeNumber(),
     /** Standard deviation of the logarithm of a prompt's length. */
@@ -42,31 +42,31 @@
     answerEvents: nonNegativeNumber(),
     answerSpread: optionalNumber(0),
     answerAtMost: optionalNumber(Number.MAX_SAFE_INTEGER),
-    /** Milliseconds to the first event, and between events, that callers want. */
+    /** Target time to the first event, and target gap between events, in milliseconds. */
     target: nonNegativeNumber(),
     targetGap: nonNegativeNumber(),
-    /** Milliseconds that a caller waits for the whole answer. */
+    /** Milliseconds that a caller waits for the complete response. */
     timeout: nonNegativeNumber(),
-    /** Worth of an answer of mean length in time; and when it is late. */
+    /** Value of a request with a prompt of mean length when its response is in time, and when it is late. */
     worth: nonNegativeNumber(),
     worthLate: nonNegativeNumber(),
 });
 
 const burstSchema = z.strictObject({
     kind: setting.text(),
-    /** Seconds from the start of traffic, and how long. */
+    /** Start, in seconds from the start of traffic, and duration in seconds. */
     at: nonNegativeNumber(),
     seconds: nonNegativeNumber(),
-    /** Factor on the rate of the kind. */
+    /** Multiplies the rate of the kind. */
     factor: nonNegativeNumber(),
 });
 
 const rushSchema = z.strictObject({
-    /** The customer's rank by size, from 1. */
+    /** The customer's rank by size, starting at 1. */
     customer: setting.wholeNumber(1),
     at: nonNegativeNumber(),
     seconds: nonNegativeNumber(),
-    /** How many times its usual it sends, of all kinds. */
+    /** Multiplies the customer's usual rate of every kind. */
     factor: nonNegativeNumber(),
 });
 
@@ -74,7 +74,7 @@
     type: setting.oneOf(FaultType),
     at: nonNegativeNumber(),
     seconds: nonNegativeNumber(),
-    /** Part of the endpoints or entries, taken from `dataCentre` where one is given. */
+    /** Share of the endpoints or entries that the fault affects; only those in `dataCentre`, if it is set. */
     share: ratio().prefault("1"),
     dataCentre: z.string().optional(),
     strength: optionalNumber(1),
@@ -82,17 +82,17 @@
 
 const patternSchema = z.strictObject({
     pattern: z.strictObject({
-        /** Seconds of traffic. */
+        /** Duration of the traffic in seconds. */
         seconds: nonNegativeNumber(),
         entries: setting.wholeNumber(1),
         dataCentres: setting.wholeNumber(1),
-        /** Customers, the first the largest; without any, callers need no keys. */
+        /** Number of customers, the first one the largest. With 0, callers need no keys. */
         customers: optionalNumber(0),
-        /** Milliseconds on the way between two instances, one way. */
+        /** One-way network delay between two instances, in milliseconds. */
         delay: optionalNumber(0.5),
-        /** Part of the datagrams between entries that is lost. */
+        /** Share of the datagrams between entries that is lost. */
         loss: ratio().prefault("0"),
-        /** Requests a second that a cold endpoint bears, and seconds for which it is cold. */
+        /** Requests per second that a cold endpoint can serve, and how many seconds it stays cold. */
         coldPerSecond: optionalNumber(30),
         coldSeconds: optionalNumber(3),
     }),
@@ -108,7 +108,7 @@
         chunkTokens: optionalNumber(2_048),
         stepsPerPass: setting.wholeNumber(1),
         hopTime: optionalNumber(0),
-        /** Milliseconds for which work stalls that depends on a dead engine. */
+        /** Milliseconds for which work that depends on a crashed engine stalls. */
         stallTime: optionalNumber(1_500),
     }),
     kind: z.record(z.string(), requestKindSchema, "expected sections [kind.NAME]"),
@@ -140,16 +140,16 @@
     }
 });
 
-/** A checked pattern. */
+/** A validated load pattern. */
 export type Pattern = z.infer<typeof patternSchema>;
 
-/** One kind of request. */
+/** One kind of request in a load pattern. */
 export type PatternRequestKind = z.infer<typeof requestKindSchema>;
 
-/** Reads a pattern. Throws a settings error that names file, section and field. */
+/** Reads a pattern. Throws a `SettingsError` that names the file, section and field. */
 export const readPattern = (file: string): Pattern => readSettings(file, patternSchema);
 
-/** The engines as their service publishes them. */
+/** Engine profile as the engines' service publishes it; the usual sizes are means weighted by each kind's rate. */
 export const createEngineProfile = (pattern: Pattern): EngineProfile => {
     const { count, stallTime, ...profile } = pattern.engines;
     void [count, stallTime];
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -1,4 +1,4 @@
-/** Plays a load pattern through the decisions of real entries, in simulated time and without sockets. */
+/** Replays a load pattern through the production code of the entries, in simulated time and without sockets. */
 import type { EntryCore } from "../core/entryCore.js";
 import {
     type Customer,
@@ -15,39 +15,39 @@
 import { type ReplayLogLine, SimulatedEntries } from "./simulatedEntries.js";
 import { type EndpointArrival, replayServiceName, type SimulatedEndpoint, SimulatedFleet } from "./simulatedFleet.js";
 
-/** Entries meet before traffic starts. */
+/** Time before traffic starts, in which the entries discover one another. */
 const warmUpDuration: Milliseconds = 1_000;
-/** After the last arrival, for what is in progress. */
+/** Time after the end of traffic, in which requests in progress finish. */
 const runOutDuration: Milliseconds = 16_000;
-/** How long entries take to learn of a change in the store. */
+/** Delay until a change in the store reaches the entries. */
 const storeChangeDelay: Milliseconds = 50;
-/** How long an endpoint that has gone stays on the list. */
+/** How long a crashed endpoint stays in the list of endpoints. */
 const crashDetectionDelay: Milliseconds = 3_600;
 
 type Fault = Pattern["fault"][string];
 
-/** How a pattern is played. */
+/** Options of a replay. */
 export interface ReplayOptions {
     seed: number;
-    /** In place of the pattern's own number. */
+    /** Number of entries; overrides the number in the pattern. */
     entries?: number;
     policy?: PlacementPolicy;
-    /** Whether entries tell one another what they place. */
+    /** Whether entries publish their placements to one another. */
     sharesLoads?: boolean;
 }
 
-/** What came of a replay. */
+/** Result of a replay. */
 export interface ReplayResult {
     records: CallerRecord[];
-    /** What the entries logged, with times from the start of traffic. */
+    /** Log lines of all entries, with times from the start of traffic. */
     lines: ReplayLogLine[];
-    /** Datagrams that entries sent to one another while traffic came. */
+    /** Number of datagrams that entries sent to one another during the traffic. */
     datagrams: number;
-    /** Requests that reached endpoints, with times from the start of traffic. */
+    /** Arrivals of requests at endpoints, with times from the start of traffic. */
     arrivals: EndpointArrival[];
 }
 
-/** Plays `pattern`; the same result for the same options. */
+/** Replays `pattern`. The same options give the same result. */
 export const replay = async (pattern: Pattern, options: ReplayOptions): Promise<ReplayResult> => {
     const runner = new ReplayRunner(pattern, options);
     return await runner.run();
@@ -198,14 +198,14 @@
     }
 };
 
-/** Each customer's key is its name. */
+/** Creates the customers; each one's key is its name. */
 const createCustomers = (count: number): Customer[] | undefined =>
     count === 0 ? undefined : [...Array(count).keys()].map(index => {
         const name = customerName(index + 1);
         return { name, keys: [name], priority: undefined };
     });
 
-/** A route for each kind, all to the engines. */
+/** Creates a configuration with one route to the engines for each kind of request. */
 const createConfiguration = (pattern: Pattern, fleet: SimulatedFleet): RoutingConfiguration => ({
     version: 1,
     routes: Object.entries(pattern.kind).map(([name, kind]): Route => ({
--- a/src/replay/replayArrivals.ts
+++ b/src/replay/replayArrivals.ts
@@ -1,4 +1,4 @@
-/** What arrives in a replay, and when: the same for the same seed. */
+/** Generates the requests of a replay and their arrival times. The same seed gives the same requests. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Milliseconds } from "../utils/clock.js";
@@ -10,29 +10,29 @@
     id: string;
     at: Milliseconds;
     kind: string;
-    /** Whose request it is; undefined where callers need no keys. */
+    /** The customer that sends the request; undefined if callers need no keys. */
     customer: string | undefined;
     promptTokens: number;
     answerEvents: number;
-    /** What an answer in time is worth, and a late one. */
+    /** Value of a response in time, and of a late one. */
     value: number;
     lateValue: number;
 }
 
-/** A prompt of no size is worth this part of one of mean size, and none is worth more than so many times as much. */
+/** Bounds of a request's value, relative to that of a request with a prompt of mean length. */
 const minimumValueFactor = 0.3;
 const maximumValueFactor = 4;
 
-/** The name of a customer by its rank. */
+/** Name of the customer with this rank. */
 export const customerName = (rank: number): string => `customer-${rank}`;
 
-/** Random numbers of a replay. */
+/** Creates the seeded random number generator of a replay. */
 export const createReplayRandom = (seed: number): Random => {
     const generator = xoroshiro128plus(seed);
     return { next: () => uniformFloat64(generator) };
 };
 
-/** All arrivals of a pattern in the order of their times. */
+/** Generates all arrivals of a pattern, ordered by time. */
 export const generateReplayArrivals = (pattern: Pattern, seed: number): ReplayArrival[] => {
     const arrivals: ReplayArrival[] = [];
     for (const [index, [name, kind]] of Object.entries(pattern.kind).entries()) {
@@ -46,7 +46,10 @@
     return arrivals.sort((left, right) => left.at - right.at);
 };
 
-/** What a customer in a rush sends beyond its usual; without it all else arrives just the same. */
+/**
+ * Generates the requests that a customer sends beyond its usual rate. They have their own random numbers, so that all other
+ * arrivals are the same with and without the rush.
+ */
 const generateRushArrivals = (
     pattern: Pattern,
     name: string,
@@ -69,7 +72,7 @@
     return arrivals;
 };
 
-/** Sizes fall with the rank: the second sends half as much as the first, the third a third. */
+/** A customer's share of the requests, by Zipf's law: the second sends half as much as the first, the third a third. */
 const customerShare = (rank: number, customerCount: number): number => {
     let sum = 0;
     for (let otherRank = 1; otherRank <= customerCount; otherRank++) {
@@ -89,7 +92,7 @@
     return undefined;
 };
 
-/** A Poisson process at the highest rate of the kind, thinned where the rate is lower. */
+/** Generates a Poisson process at the highest rate of the kind, thinned where the rate is lower. */
 const generateArrivals = (
     pattern: Pattern,
     name: string,
@@ -125,7 +128,7 @@
     }
 };
 
-/** A whole number of at least one, spread log-normally around `mean`. */
+/** Samples a whole number of at least 1 from a log-normal distribution with mean `mean`. */
 const sampleSize = (mean: number, spread: number, maximum: number, random: Random): number => {
     const normal = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
     const size = mean * Math.exp(spread * normal - spread * spread / 2);
--- a/src/replay/replayPlot.ts
+++ b/src/replay/replayPlot.ts
@@ -1,4 +1,4 @@
-/** A picture of a replay by seconds: what the requests that arrived then were worth, and what became of it. */
+/** Draws a replay as a bar chart: for each second, the value of the requests that arrived in it, by outcome. */
 import type { ReplayResult } from "./replay.js";
 import { earnedValue } from "./replayReport.js";
 import { CallerOutcome } from "./simulatedCaller.js";
@@ -13,7 +13,7 @@
     [CallerOutcome.Failed]: "#7f3f98",
 };
 
-/** The picture as SVG. What is late counts with what it is still worth; the rest of it is lost. */
+/** Draws the chart as SVG. A late request counts with its reduced value. */
 export const drawReplaySvg = async (title: string, { records }: ReplayResult): Promise<string> => {
     const { init, use } = await import("echarts/core");
     const { BarChart } = await import("echarts/charts");
@@ -30,16 +30,16 @@
                 data[second] = Math.round((data[second]! + value) * 10) / 10;
             }
         }
-        return { name: outcome, type: "bar" as const, stack: "worth", color: colourByOutcome[outcome], data };
+        return { name: outcome, type: "bar" as const, stack: "value", color: colourByOutcome[outcome], data };
     });
-    // Without a document the library draws into a string.
+    // In server-side rendering mode, the library needs no document and renders to a string.
     const chart = init(undefined, undefined, { renderer: "svg", ssr: true, width, height });
     chart.setOption({
         animation: false,
         title: { text: title },
         legend: { top: 28 },
         xAxis: { type: "category", name: "s", data: series[0]!.data.map((...[, second]) => second) },
-        yAxis: { type: "value", name: "worth" },
+        yAxis: { type: "value", name: "value" },
         series,
     });
     const svg = chart.renderToSVGString();
--- a/src/replay/replayReport.ts
+++ b/src/replay/replayReport.ts
@@ -1,4 +1,4 @@
-/** What came of replays, for people: by kind of request, and what was lost by which reason. */
+/** Summarizes the results of replays: outcomes and times by kind of request, and the lost value by reason. */
 import { build, type Histogram } from "hdr-histogram-js";
 import { buildTraces, type LogLine } from "../losses/requestTraces.js";
 import { createLossTable } from "../losses/table.js";
@@ -6,14 +6,14 @@
 import type { ReplayResult } from "./replay.js";
 import { CallerOutcome, type CallerRecord } from "./simulatedCaller.js";
 
-/** Times of one kind, in milliseconds. */
+/** Percentiles of times in milliseconds. */
 export interface Percentiles {
     p50: Milliseconds;
     p95: Milliseconds;
     p99: Milliseconds;
 }
 
-/** One kind of request over all seeds. */
+/** Results of one kind of request over all seeds. */
 export interface KindRow {
     kind: string;
     requests: number;
@@ -22,20 +22,20 @@
     longestPause: Percentiles;
 }
 
-/** One reason of losses, as a part of the value of all requests. */
+/** Losses for one reason; `share` is relative to the value of all requests. */
 export interface ReplayLoss {
     reason: string;
     requests: number;
     share: number;
 }
 
-/** The report. */
+/** Report over all seeds of a replay. */
 export interface ReplayReport {
-    /** Part of the worth of all requests that their callers got. */
+    /** Value of the received responses, relative to the value of all requests. */
     share: number;
     kinds: KindRow[];
     losses: ReplayLoss[];
-    /** Datagrams between entries for each request. */
+    /** Mean number of datagrams between entries per request. */
     datagramsPerRequest: number;
 }
 
@@ -43,7 +43,7 @@
 const lossTableSpan: Milliseconds = 1_000;
 const percentPerUnit = 100;
 
-/** What a caller's answer was worth. */
+/** Value of the response that a caller received. */
 export const earnedValue = ({ outcome, arrival }: CallerRecord): number => {
     switch (outcome) {
         case CallerOutcome.InTime:
@@ -56,7 +56,7 @@
     }
 };
 
-/** Adds the results of several seeds up. */
+/** Creates the report over the results of several seeds. */
 export const createReplayReport = (results: readonly ReplayResult[]): ReplayReport => {
     const records = results.flatMap(result => result.records);
     const offeredTotal = records.reduce((sum, { arrival }) => sum + arrival.value, 0);
@@ -115,11 +115,11 @@
     return { p50: valueAt(50), p95: valueAt(95), p99: valueAt(99) };
 };
 
-/** The report as text. */
+/** Formats the report as text. */
 export const formatReplayReport = ({ share, kinds, losses, datagramsPerRequest }: ReplayReport): string => {
     const formatPercent = (ratio: number) => `${(ratio * percentPerUnit).toFixed(1)}%`;
     const formatPercentiles = ({ p50, p95, p99 }: Percentiles) => `p50 ${p50}, p95 ${p95}, p99 ${p99} ms`;
-    const lines = [`${formatPercent(share)} of the worth, ${datagramsPerRequest.toFixed(1)} datagrams a request`];
+    const lines = [`${formatPercent(share)} of the value, ${datagramsPerRequest.toFixed(1)} datagrams per request`];
     for (const { kind, requests, outcomes, firstEvent, longestPause } of kinds) {
         const outcomeCounts = Object.entries(outcomes).map(([outcome, count]) => `${count} ${outcome}`).join(", ");
         lines.push(
--- a/src/replay/simulatedCaller.ts
+++ b/src/replay/simulatedCaller.ts
@@ -1,4 +1,7 @@
-/** A caller of a replay: asks, comes back when told to, goes on where its stream was cut, and judges what it gets. */
+/**
+ * Simulates one caller of a replay. The caller sends a request, retries after the delay that a rejection names, resumes a
+ * stream where it was cut, and records whether the response met its targets.
+ */
 import type { EntryCore } from "../core/entryCore.js";
 import { Execution, type RequestFailure } from "../core/failures.js";
 import type { CallerExchange, RequestHead, ResponseHead } from "../ports/forwardingPorts.js";
@@ -8,7 +11,7 @@
 import type { ReplayArrival } from "./replayArrivals.js";
 import type { SimulatedFleet } from "./simulatedFleet.js";
 
-/** How a request ended, as its caller sees it. */
+/** Outcome of a request, as its caller sees it. */
 export enum CallerOutcome {
     InTime = "in time",
     Late = "late",
@@ -16,41 +19,41 @@
     Failed = "failed",
 }
 
-/** What a caller got. */
+/** Outcome and timing of one caller's request. */
 export interface CallerRecord {
     arrival: ReplayArrival;
     outcome: CallerOutcome;
-    /** Since the arrival; undefined where no event came. */
+    /** Time from the arrival to the first event; undefined if no event arrived. */
     firstEvent: Milliseconds | undefined;
     longestPause: Milliseconds;
-    /** Identifiers of its tries, as the entries log them. */
+    /** Request ids of the tries, as the entries log them. */
     requestIds: string[];
 }
 
-/** Callers come back once after a failure. */
+/** Callers retry once after a failure. */
 const maximumTries = 2;
-/** They come back after at most this part of the time that is left. */
+/** Upper bound of the delay before a retry, as a fraction of the remaining time. */
 const maximumRetryDelayRatio = 1 / 3;
-/** They wait for an event for the longest of: a time, so many targets, so many pauses. */
+/** Callers wait for the next event for the longest of a fixed time and multiples of the target latency and the target gap. */
 const minimumPatience: Milliseconds = 2_000;
 const patiencePerTarget = 4;
 const patiencePerTargetGap = 8;
 
-/** Callers allow answers of so many times the mean length. */
+/** Upper bound of the response length that callers request, relative to the mean length. */
 const maximumAnswerFactor = 2;
 
-/** How one try ended. */
+/** Result of one try. */
 type TryResult = { type: "Whole" | "Cut" | "Left"; } | { type: "Failed"; failure: RequestFailure; };
 
-/** What callers work with. */
+/** Dependencies of the simulated callers. */
 export interface CallerDependencies {
     clock: Clock;
     fleet: SimulatedFleet;
-    /** The entry that the balancer picks for the next try. */
+    /** Picks the entry for the next try, as a load balancer does. */
     pickEntry: () => EntryCore;
 }
 
-/** Runs one caller to its end. */
+/** Simulates one caller until its request has ended. */
 export const simulateCaller = async (
     dependencies: CallerDependencies,
     arrival: ReplayArrival,
@@ -164,7 +167,7 @@
     }
 }
 
-/** The entry's side of one try. */
+/** The exchange that an entry serves for one try. */
 class SimulatedExchange implements CallerExchange {
     result: TryResult | undefined;
     private readonly disconnectController = new AbortController();
@@ -176,7 +179,7 @@
         return this.disconnectController.signal;
     }
 
-    /** Resolves with the next event, or the end. */
+    /** Resolves at the next event or at the end of the exchange. */
     waitForChange(): Promise<void> {
         return new Promise(resolve => {
             this.notifyWaiter = resolve;
--- a/src/replay/simulatedClock.ts
+++ b/src/replay/simulatedClock.ts
@@ -1,25 +1,25 @@
-/** A clock whose time goes on as fast as its events are worked off. */
+/** A clock in simulated time, which advances from event to event without waiting. */
 import { setImmediate } from "node:timers";
 import TinyQueue from "tinyqueue";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 
 interface ScheduledEvent {
     at: Milliseconds;
-    /** Keeps events of the same time in the order in which they were asked for. */
+    /** Orders events of the same time by when they were scheduled. */
     sequenceNumber: number;
     action: (() => void) | undefined;
 }
 
-/** Wall time at the clock's zero; only its differences mean anything. */
+/** Wall time at simulated time 0. An arbitrary value: only differences of wall times are used. */
 const wallTimeAtZero = 1_700_000_000_000;
 
 const compareEvents = (left: ScheduledEvent, right: ScheduledEvent): number =>
     left.at - right.at || left.sequenceNumber - right.sequenceNumber;
 
-/** Lets everything that is ready go on before time does. */
+/** Runs all pending promise callbacks, so that they finish before time advances. */
 const runPendingTasks = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
-/** Simulated time. */
+/** Clock in simulated time. */
 export class SimulatedClock implements Clock {
     private time: Milliseconds = 0;
     private nextSequenceNumber = 0;
@@ -56,7 +56,7 @@
         };
     };
 
-    /** Works off all events up to `until`. */
+    /** Advances to `until` and runs all events that are due by then. */
     async run(until: Milliseconds): Promise<void> {
         await runPendingTasks();
         for (let next = this.queue.peek(); next && next.at <= until; next = this.queue.peek()) {
--- a/src/replay/simulatedEntries.ts
+++ b/src/replay/simulatedEntries.ts
@@ -1,4 +1,4 @@
-/** Entries of a replay: the real decisions, with messages in simulated time in place of sockets. */
+/** The entries of a replay: the production code of `EntryCore`, with messages in simulated time instead of sockets. */
 import { EntryCore } from "../core/entryCore.js";
 import type { PeerChannelPort, PeerIdentity, PeerPacket } from "../ports/peerChannelPort.js";
 import { StateKind } from "../ports/statePort.js";
@@ -8,16 +8,16 @@
 import type { Random } from "../utils/random.js";
 import type { SimulatedFleet } from "./simulatedFleet.js";
 
-/** A line that an entry logged. */
+/** A line of an entry's log. */
 export interface ReplayLogLine {
-    /** Milliseconds since the start. */
+    /** Time since the start. */
     time: Milliseconds;
     entry: string;
     message: string;
     fields: Record<string, unknown>;
 }
 
-/** What the entries of a replay have in common. */
+/** Options that all entries of a replay share. */
 export interface SimulatedEntriesOptions {
     clock: Clock;
     random: Random;
@@ -25,9 +25,9 @@
     count: number;
     dataCentres: number;
     policy: PlacementPolicy;
-    /** Whether entries tell one another what they place. */
+    /** Whether entries publish their placements to one another. */
     sharesLoads: boolean;
-    /** One way between two instances, and the part of the datagrams that is lost. */
+    /** One-way network delay between two instances, and the share of the datagrams that is lost. */
     delay: Milliseconds;
     loss: number;
     lines: ReplayLogLine[];
@@ -36,7 +36,7 @@
 const retryLimits = { share: 0.2, window: 10_000, extra: 100 };
 const coldStartLimits = { factor: 1.5, extra: 5 };
 
-/** The entries. */
+/** All entries of a replay. */
 export class SimulatedEntries {
     readonly entries: readonly EntryCore[];
     private readonly entryByAddress = new Map<string, EntryCore>();
@@ -56,17 +56,17 @@
         }
     }
 
-    /** Datagrams that were sent, over all entries. */
+    /** Number of datagrams that all entries have sent. */
     sentDatagramCount = 0;
 
-    /** Puts a configuration in force everywhere. */
+    /** Activates a configuration at all entries. */
     adoptConfiguration(configuration: RoutingConfiguration): void {
         for (const { configuration: active } of this.entries) {
             active.adopt(configuration);
         }
     }
 
-    /** All entries learn of these endpoints. */
+    /** Replaces the list of endpoints at all entries. */
     publishEndpoints(records: readonly EndpointRecord[]): void {
         const revision = ++this.revision;
         const items = records.map(record => ({ name: record.id, revision, value: record }));
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Operators take a data centre out, or back. */
+    /** Takes a data centre out, or brings it back in, as operators do. */
     setDataCentreOut(dataCentre: string, out: boolean): void {
         const revision = ++this.revision;
         const change = { name: dataCentre, revision, value: true as const, removed: !out };
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Datagrams of these entries are lost, or arrive again. */
+    /** Starts or stops dropping all datagrams to and from these entries. */
     setPartitioned(entries: readonly EntryCore[], partitioned: boolean): void {
         for (const { address } of entries) {
             if (partitioned) {
--- a/src/replay/simulatedFleet.ts
+++ b/src/replay/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** Engines in simulated time, as entries reach them: orders, memory set aside, deaths and silence. */
+/** Simulates the engines of a replay as entries reach them: attempts, memory reservations, crashes and stalls. */
 import {
     type AttemptOutcome,
     type EndpointAttempt,
@@ -14,19 +14,19 @@
 import { describeError } from "../utils/errors.js";
 import { createEngineProfile, type Pattern } from "./pattern.js";
 
-/** The service of all engines. */
+/** Name of the service that all engines belong to. */
 export const replayServiceName = "models";
 
-/** One engine with its address and what is wrong with it. */
+/** One engine with its endpoint record and its injected faults. */
 export interface SimulatedEndpoint {
     record: EndpointRecord;
     engine: PassEngine;
     isUnresponsive: boolean;
-    /** Requests a second that its answers name. */
+    /** Limit in requests per second that responses advertise. */
     limitPerSecond: number | undefined;
 }
 
-/** A request that reached an endpoint. */
+/** Arrival of a request at an endpoint. */
 export interface EndpointArrival {
     endpoint: string;
     at: Milliseconds;
@@ -39,7 +39,7 @@
     readonly profile: EngineProfile;
     readonly endpoints: readonly SimulatedEndpoint[];
     readonly arrivals: EndpointArrival[] = [];
-    /** How much of a prompt each request that is in progress has been promised as events. */
+    /** Number of events in the complete response, by request id. */
     private readonly eventCountByRequest = new Map<string, number>();
 
     constructor(private readonly pattern: Pattern, private readonly clock: Clock) {
@@ -64,7 +64,7 @@
         }));
     }
 
-    /** Notes how many events the whole answer of a request has. */
+    /** Sets the number of events in the complete response to a request. */
     setEventCount(id: string, eventCount: number): void {
         this.eventCountByRequest.set(id, eventCount);
     }
@@ -74,12 +74,12 @@
         const { record, engine, isUnresponsive } = endpoint;
         if (isUnresponsive) {
             await this.clock.sleep(attempt.connectTimeout, signal);
-            return { type: "Unreached", reason: "no connection in time", connectionRefused: false };
+            return { type: "Unreached", reason: "connecting timed out", connectionRefused: false };
         }
         await this.waitForTransit();
         if (engine.isDead) {
             await this.waitForTransit();
-            return { type: "Unreached", reason: "nobody listens", connectionRefused: true };
+            return { type: "Unreached", reason: "connection refused", connectionRefused: true };
         }
         if (signal.aborted) {
             return { type: "Broken", reason: "cancelled" };
@@ -152,7 +152,7 @@
     }
 }
 
-/** The answer of one engine to one order, as it arrives. */
+/** The response of one engine to one attempt, as its events arrive at the entry. */
 class SimulatedResponse implements AsyncIterableIterator<StreamEvent> {
     private readonly receivedEvents: StreamEvent[] = [];
     private hasEnded = false;
@@ -170,7 +170,7 @@
         signal.addEventListener("abort", () => this.end(new StreamBrokenError("cancelled")), { once: true });
     }
 
-    /** Starts `run`, and resolves with the head of the answer or with what became of it before. */
+    /** Starts `run`. Resolves with the head of the response, or with the failure that came before it. */
     start(run: (emit: (event: number) => void) => Promise<void>): Promise<AttemptOutcome> {
         return new Promise(resolve => {
             this.resolveOutcome = resolve;
@@ -245,6 +245,6 @@
         this.hasEnded = true;
         this.error ??= error;
         this.notifyReader();
-        this.resolveOutcome({ type: "Broken", reason: "ended" });
+        this.resolveOutcome({ type: "Broken", reason: "the response ended without an event" });
     }
 }
