--- a/__tests__/forwarding/placers.test.ts
+++ b/__tests__/forwarding/placers.test.ts
@@ -2,9 +2,9 @@
 import path from "node:path";
 import { expect, test } from "vitest";
 import { choosePlacers, type PlacerCandidate, PlacerRoster } from "../../src/core/membership/placers.js";
-import { FaultKind, type Pattern, readPattern } from "../../src/replay/pattern.js";
+import { FaultType, type Pattern, readPattern } from "../../src/replay/pattern.js";
 import { replay, type ReplayResult } from "../../src/replay/replay.js";
-import { replayReport } from "../../src/replay/replayReport.js";
+import { createReplayReport } from "../../src/replay/replayReport.js";
 import type { Clock } from "../../src/utils/clock.js";
 
 const candidate = (index: number, changes: Partial<PlacerCandidate> = {}): PlacerCandidate => ({
@@ -68,12 +68,12 @@
 const rejectedCount = ({ records }: ReplayResult): number =>
     records.filter(({ outcome }) => outcome === "refused").length;
 
-const share = (result: ReplayResult): number => replayReport([result]).share;
+const share = (result: ReplayResult): number => createReplayReport([result]).share;
 
 test("entries that are all partitioned from one another serve all requests", async () => {
     // Guards against requests that are rejected or fail because no placer responds.
     const pattern = shortMix();
-    const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: undefined, strength: 1 };
+    const cut = { type: FaultType.EntriesPartitioned, at: 2, seconds: 4, share: 1, dataCentre: undefined, strength: 1 };
     const result = await replay({ ...pattern, fault: { cut } }, { seed: 1 });
     const timeouts = result.lines.filter(({ message }) => message.startsWith("placing: An entry that chooses"));
     expect(timeouts.length).toBeGreaterThan(10);
@@ -84,7 +84,7 @@
 test("partition of one data centre's entries costs no other entry's requests", async () => {
     // Guards against a partition that costs more than the requests of the partitioned entries.
     const pattern = shortMix();
-    const cut = { type: FaultKind.EntriesCut, at: 2, seconds: 4, share: 1, dataCentre: "1", strength: 1 };
+    const cut = { type: FaultType.EntriesPartitioned, at: 2, seconds: 4, share: 1, dataCentre: "1", strength: 1 };
     const [whole, part] = [
         await replay(pattern, { seed: 1 }),
         await replay({ ...pattern, fault: { cut } }, { seed: 1 }),
--- a/__tests__/timeline.test.ts
+++ b/__tests__/timeline.test.ts
@@ -1,6 +1,6 @@
-/** One time line over processes whose clocks disagree. */
+/** Merging the timelines of processes whose clocks differ. */
 import { expect, test } from "vitest";
-import { collect, merge, timelineHtml, timelineText } from "../src/commands/timelineMerge.js";
+import { collectPage, formatTimelineHtml, formatTimelineText, mergePages } from "../src/commands/timelineMerge.js";
 import { Clock, listen, sendJson, Timeline } from "../src/internal.js";
 
 const clockAt = (wall: { time: number; }): Clock => ({
@@ -13,8 +13,8 @@
 const serveTimeline = (timeline: Timeline) =>
     listen("127.0.0.1:0", (...[, response]) => Promise.resolve(sendJson(response, 200, timeline.page(0))));
 
-test("offsets are corrected", async () => {
-    // One instance's clock runs an hour ahead. Unmerged, its events would all seem to come after the others.
+test("clock offsets are corrected", async () => {
+    // One instance's clock is an hour ahead. Without correction, all its events would sort after those of the other one.
     const near = { time: 1_000_000 };
     const far = { time: 1_000_000 + 3_600_000 };
     const first = new Timeline("entry-1", clockAt(near));
@@ -27,15 +27,15 @@
     far.time += 10;
     first.record("callers", "ended", "abc");
     const listeners = await Promise.all([serveTimeline(first), serveTimeline(second)]);
-    const pages = await Promise.all(listeners.map(listener => collect(clockAt(near), listener.address)));
+    const pages = await Promise.all(listeners.map(listener => collectPage(clockAt(near), listener.address)));
     await Promise.all(listeners.map(listener => listener.close()));
-    const events = merge(pages);
+    const events = mergePages(pages);
     expect(events.map(event => event.event)).toEqual(["admitted", "stream", "ended"]);
-    expect(timelineText(events).split("\n")).toHaveLength(3);
-    expect(timelineHtml(events)).toContain("<circle");
+    expect(formatTimelineText(events).split("\n")).toHaveLength(3);
+    expect(formatTimelineHtml(events)).toContain("<circle");
 });
 
-test("a full ring says what it lost", () => {
+test("full ring buffer counts the events it dropped", () => {
     const timeline = new Timeline("entry-1", clockAt({ time: 0 }));
     for (let index = 0; index < 10_000; index++) {
         timeline.record("callers", "admitted", String(index));
--- a/src/commands/operator/index.ts
+++ b/src/commands/operator/index.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp`: what operators do, through the operators' port of any entry. */
+/** `dandelionramp`: the operators' commands, which work through the operators' port of any entry. */
 import { Args, Flags } from "@oclif/core";
 import { readFileSync } from "node:fs";
 import { configurationKinds, describeError, JsonResponse, requestJson, SettingsError } from "../../internal.js";
@@ -9,38 +9,38 @@
 const failedExitCode = 1;
 const addressFlag = {
     entry: Flags.string({
-        description: "operators' port of an entry, as host:port",
+        description: "address of an entry's port for operators, as host:port",
         default: defaultAddress,
         env: "DANDELIONRAMP_ENTRY",
     }),
 };
-const readFlags = { ...addressFlag, json: Flags.boolean({ description: "print JSON" }) };
+const readFlags = { ...addressFlag, json: Flags.boolean({ description: "print as JSON" }) };
 const kindArgument = Args.string({ description: `one of ${configurationKinds.join(", ")}`, required: true });
 const nameArgument = Args.string({ description: "name of the object", required: true });
 
 abstract class OperatorCommand extends ProgramCommand {
-    protected async ask(entry: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
+    protected async sendRequest(entry: string, method: string, path: string, value?: unknown): Promise<JsonResponse> {
         try {
             return await requestJson({ address: entry, method, path }, value);
         }
         catch (error) {
-            return this.error(`the entry at ${entry} does not answer: ${describeError(error)}`, {
+            return this.error(`the entry at ${entry} does not respond: ${describeError(error)}`, {
                 exit: failedExitCode,
             });
         }
     }
 
-    /** Prints a read's answer, or ends with its error. */
-    protected show(answer: JsonResponse, json: boolean, text: (value: never) => string): void {
-        if (answer.status !== 200) {
-            this.error((answer.value as { error: string; }).error, { exit: failedExitCode });
+    /** Prints the response to a read, or exits with its error. */
+    protected printResponse(response: JsonResponse, json: boolean, format: (value: never) => string): void {
+        if (response.status !== 200) {
+            this.error((response.value as { error: string; }).error, { exit: failedExitCode });
         }
-        this.log(json ? JSON.stringify(answer.value, undefined, 4) : text(answer.value as never));
+        this.log(json ? JSON.stringify(response.value, undefined, 4) : format(response.value as never));
     }
 
-    /** Prints what became of a change, or ends with its error. */
-    protected report(answer: JsonResponse, subject: string): void {
-        const outcome = answer.value as {
+    /** Prints the outcome of a change, or exits with its error. */
+    protected printChange(response: JsonResponse, subject: string): void {
+        const outcome = response.value as {
             type?: string;
             version?: number;
             current?: { version: number; };
@@ -51,14 +51,22 @@
             return;
         }
         if (outcome.type === "Provisional") {
-            this.log(`${subject}: provisional. The platform is down; it is written when the platform returns.`);
+            this.log(
+                `${subject}: accepted provisionally. The platform is down; the change is written when the platform is back.`,
+            );
             return;
         }
         if (outcome.type === "Conflict") {
-            const found = outcome.current ? `version ${outcome.current.version} is there now` : "it is not there";
-            this.error(`${subject}: refused, somebody else changed it; ${found}.`, { exit: failedExitCode });
+            const currentVersion = outcome.current
+                ? `version ${outcome.current.version} is there now`
+                : "the object doesn't exist";
+            this.error(`${subject}: rejected, as the object was changed since; ${currentVersion}.`, {
+                exit: failedExitCode,
+            });
         }
-        this.error(outcome.error ?? `${subject}: the entry answered ${answer.status}`, { exit: failedExitCode });
+        this.error(outcome.error ?? `${subject}: the entry responded with status ${response.status}`, {
+            exit: failedExitCode,
+        });
     }
 }
 
@@ -83,7 +91,7 @@
     }[];
 }
 
-const statusText = (status: StatusView): string => {
+const formatStatus = (status: StatusView): string => {
     const lines = [
         `${status.instance} in ${status.dataCentre}: ${status.accepting ? "accepting" : "not accepting"}, `
         + `platform ${status.platformDown ? "down" : "up"}, configuration revision ${status.configurationRevision}`,
@@ -106,13 +114,13 @@
 };
 
 class StatusCommand extends OperatorCommand {
-    static override description = "Show what an entry knows: peers, endpoints, requests, provisional outs.";
+    static override description = "Show the state of an entry: peers, endpoints, requests, provisional outs.";
     static override examples = ["<%= config.bin %> status", "<%= config.bin %> status --json"];
     static override flags = readFlags;
 
     async run(): Promise<void> {
         const { flags } = await this.parse(StatusCommand);
-        this.show(await this.ask(flags.entry, "GET", "/status"), flags.json, statusText);
+        this.printResponse(await this.sendRequest(flags.entry, "GET", "/status"), flags.json, formatStatus);
     }
 }
 
@@ -130,9 +138,9 @@
 
     async run(): Promise<void> {
         const { flags, args } = await this.parse(ListCommand);
-        const answer = await this.ask(flags.entry, "GET", `/objects/${args.kind}`);
-        this.show(
-            answer,
+        const response = await this.sendRequest(flags.entry, "GET", `/objects/${args.kind}`);
+        this.printResponse(
+            response,
             flags.json,
             ({ objects }: { objects: ObjectView[]; }) =>
                 objects.map(object => `${object.name}  version ${object.version}`).join("\n"),
@@ -141,16 +149,20 @@
 }
 
 class ShowCommand extends OperatorCommand {
-    static override description = "Show one object with its version.";
+    static override description = "Show an object and its version.";
     static override examples = ["<%= config.bin %> show service standin"];
     static override flags = readFlags;
     static override args = { kind: kindArgument, name: nameArgument };
 
     async run(): Promise<void> {
         const { flags, args } = await this.parse(ShowCommand);
-        const answer = await this.ask(flags.entry, "GET", `/objects/${args.kind}/${encodeURIComponent(args.name)}`);
-        this.show(
-            answer,
+        const response = await this.sendRequest(
+            flags.entry,
+            "GET",
+            `/objects/${args.kind}/${encodeURIComponent(args.name)}`,
+        );
+        this.printResponse(
+            response,
             flags.json,
             (object: ObjectView) => `version ${object.version}\n${JSON.stringify(object.value, undefined, 4)}`,
         );
@@ -160,20 +172,20 @@
 const changeFlags = {
     ...addressFlag,
     "expected-version": Flags.integer({
-        description: "version you looked at; the change is refused when somebody wrote since",
+        description: "version that the change is based on; the change is rejected if the object has another version",
         min: 0,
     }),
 };
 
 class SetCommand extends OperatorCommand {
-    static override description = "Write an object. Fields that are left out get their defaults.";
+    static override description = "Write an object. Omitted fields get their defaults.";
     static override examples = [
         "<%= config.bin %> set profile patient --value '{\"defaultTimeoutMilliseconds\": 120000}'",
         "<%= config.bin %> set customer kalahari --file customer.json --expected-version 12",
     ];
     static override flags = {
         ...changeFlags,
-        file: Flags.string({ description: "JSON file with the value", exclusive: ["value"] }),
+        file: Flags.string({ description: "JSON file that contains the value", exclusive: ["value"] }),
         value: Flags.string({ description: "the value as JSON", exclusive: ["file"] }),
     };
     static override args = { kind: kindArgument, name: nameArgument };
@@ -182,8 +194,11 @@
         const { flags, args } = await this.parse(SetCommand);
         const path = `/objects/${args.kind}/${encodeURIComponent(args.name)}`;
         const value = this.readValue(flags.file, flags.value);
-        const answer = await this.ask(flags.entry, "PUT", path, { value, expectedVersion: flags["expected-version"] });
-        this.report(answer, `${args.kind} ${args.name}`);
+        const response = await this.sendRequest(flags.entry, "PUT", path, {
+            value,
+            expectedVersion: flags["expected-version"],
+        });
+        this.printChange(response, `${args.kind} ${args.name}`);
     }
 
     private readValue(file: string | undefined, value: string | undefined): unknown {
@@ -208,8 +223,10 @@
     async run(): Promise<void> {
         const { flags, args } = await this.parse(RemoveCommand);
         const path = `/objects/${args.kind}/${encodeURIComponent(args.name)}`;
-        const answer = await this.ask(flags.entry, "DELETE", path, { expectedVersion: flags["expected-version"] });
-        this.report(answer, `${args.kind} ${args.name}`);
+        const response = await this.sendRequest(flags.entry, "DELETE", path, {
+            expectedVersion: flags["expected-version"],
+        });
+        this.printChange(response, `${args.kind} ${args.name}`);
     }
 }
 
@@ -227,8 +244,11 @@
     async run(): Promise<void> {
         const { flags, args } = await this.parse({ flags: addressFlag, args: { name: nameArgument } });
         const path = `/${this.direction}/${this.kind}/${encodeURIComponent(args.name)}`;
-        const word = this.kind === "dataCentre" ? "data centre" : "instance";
-        this.report(await this.ask(flags.entry, "POST", path), `${word} ${args.name} ${this.direction}`);
+        const kindText = this.kind === "dataCentre" ? "data centre" : "instance";
+        this.printChange(
+            await this.sendRequest(flags.entry, "POST", path),
+            `${kindText} ${args.name} ${this.direction}`,
+        );
     }
 }
 
@@ -246,7 +266,7 @@
         protected override readonly kind = kind;
     };
 
-/** The commands by name. */
+/** Commands by name. */
 export const commands = {
     losses: LossesCommand,
     status: StatusCommand,
@@ -257,9 +277,13 @@
     "data-centre:out": restrictionCommand(
         Direction.Out,
         "dataCentre",
-        "Take a data centre out: no new work after seconds.",
+        "Take a data centre out: within seconds, it gets no new work.",
     ),
     "data-centre:in": restrictionCommand(Direction.In, "dataCentre", "Bring a data centre back in."),
-    "instance:out": restrictionCommand(Direction.Out, "instance", "Take an instance out: no new work after seconds."),
+    "instance:out": restrictionCommand(
+        Direction.Out,
+        "instance",
+        "Take an instance out: within seconds, it gets no new work.",
+    ),
     "instance:in": restrictionCommand(Direction.In, "instance", "Bring an instance back in."),
 };
--- a/src/commands/standin/index.ts
+++ b/src/commands/standin/index.ts
@@ -1,4 +1,4 @@
-/** `dandelionramp-standin`: one small stand-in a process. */
+/** `dandelionramp-standin`: runs one stand-in per process. */
 import { Flags } from "@oclif/core";
 import { readFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
@@ -21,10 +21,10 @@
 import { startPlatform } from "../../standins/platformServer.js";
 import { defaultServiceShape } from "../../standins/serviceModel.js";
 import { startService } from "../../standins/serviceServer.js";
-import { ProgramCommand, stopRequested } from "../program.js";
+import { ProgramCommand, waitForStopSignal } from "../program.js";
 
-const listRetryMilliseconds = 500;
-const listAgainMilliseconds = 5_000;
+const listingRetryMilliseconds = 500;
+const listingRefreshMilliseconds = 5_000;
 
 const listen = z.strictObject({ address: setting.address(), control: setting.address() });
 const platform = z.strictObject({ address: setting.address() });
@@ -33,7 +33,7 @@
 const platformSchema = z.strictObject({
     listen,
     platform: z.strictObject({
-        /** JSON file with the objects stored from the start, beside the settings file. */
+        /** JSON file with the initially stored objects; a relative path starts at the settings file's folder. */
         objects: setting.text(),
         listLagMilliseconds: setting.wholeNumber().default(500),
         callsPerSecond: setting.wholeNumber(1).default(2_500),
@@ -69,7 +69,7 @@
     }).prefault({}),
 });
 
-const settingsFlag = { settings: Flags.string({ description: "settings file in INI", required: true }) };
+const settingsFlag = { settings: Flags.string({ description: "settings file in INI format", required: true }) };
 
 const readObjects = (settingsFile: string, objectsFile: string): StoredObject[] => {
     const path = resolve(dirname(settingsFile), objectsFile);
@@ -77,29 +77,32 @@
         return JSON.parse(readFileSync(path, "utf8")) as StoredObject[];
     }
     catch (error) {
-        throw new SettingsError(`${settingsFile}: [platform] objects: expected a JSON file, ${objectsFile} is none`, {
-            cause: error,
-        });
+        throw new SettingsError(
+            `${settingsFile}: [platform] objects: expected a JSON file, but ${objectsFile} can't be read as JSON`,
+            {
+                cause: error,
+            },
+        );
     }
 };
 
-/** Puts a stand-in on the platform's list and keeps it there, as the platform's own supervision would. */
+/** Adds a stand-in to the platform's list of instances and refreshes its record, as the platform's supervision would. */
 const keepListed = async (platformAddress: string, record: () => InstanceRecord): Promise<never> => {
     while (true) {
         const path = `/instances/${encodeURIComponent(record().id)}`;
         const put = requestJson({ address: platformAddress, method: "PUT", path }, record());
         const listed = await put.then(answer => answer.status === 200, () => false);
-        await systemClock.sleep(listed ? listAgainMilliseconds : listRetryMilliseconds);
+        await systemClock.sleep(listed ? listingRefreshMilliseconds : listingRetryMilliseconds);
     }
 };
 
 const serveUntilStopped = async (target: FaultTarget, control: string): Promise<void> => {
     await serveFaults(target, control);
-    await stopRequested();
+    await waitForStopSignal();
 };
 
 class PlatformCommand extends ProgramCommand {
-    static override description = "Run a stand-in platform: object API, watches and instance list.";
+    static override description = "Run a stand-in platform with an object API, watches and an instance list.";
     static override examples = ["<%= config.bin %> platform --settings examples/local/platform.ini"];
     static override flags = settingsFlag;
 
@@ -140,7 +143,7 @@
 }
 
 class ServiceCommand extends ProgramCommand {
-    static override description = "Run a stand-in plain service that counts the runs of each key.";
+    static override description = "Run a stand-in plain service that counts the executions of each idempotency key.";
     static override examples = ["<%= config.bin %> service --settings examples/local/service-1.ini"];
     static override flags = settingsFlag;
 
@@ -164,5 +167,5 @@
     }
 }
 
-/** The commands by name. */
+/** Commands by name. */
 export const commands = { engine: EngineCommand, platform: PlatformCommand, service: ServiceCommand };
--- a/src/core/forwarding/overload.ts
+++ b/src/core/forwarding/overload.ts
@@ -90,7 +90,7 @@
     const retryDelaySeconds = Math.max(busyRetrySeconds, (firstEvent - route.targetLatency) / 1_000);
     return {
         kind: FailureKind.Overloaded,
-        detail: `the first event is predicted to take ${Math.round(firstEvent)} ms, longer than the caller waits`,
+        detail: `the first event would take ${Math.round(firstEvent)} ms, longer than the caller waits`,
         retryAfterSeconds: Math.round(retryDelaySeconds * 100) / 100,
     };
 };
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -1,19 +1,19 @@
-/** Which requests an experiment sends, and when: the same for the same seed. */
+/** Plans the requests of an experiment and their arrival times. The same seed gives the same plan. */
 import { Milliseconds, Random, seededRandom } from "../internal.js";
 
-/** One class of prompts in a mix. */
-export interface MixPart {
+/** One class of prompts in a mix, with its relative frequency. */
+export interface PromptClass {
     promptTokens: number;
     weight: number;
 }
 
-/** What an experiment sends. */
+/** Number, rate and sizes of the requests of an experiment. */
 export interface ArrivalPlan {
     requests: number;
-    /** Mean arrivals a second of the Poisson process; 0 sends everything at once. */
+    /** Mean arrivals per second of the Poisson process; 0 sends all requests at once. */
     ratePerSecond: number;
-    mix: readonly MixPart[];
-    /** Whether the weights are exact counts; `requests` is not used then. */
+    mix: readonly PromptClass[];
+    /** Whether the weights are exact counts, in which case `requests` is ignored. */
     exact: boolean;
     answerTokens: number;
     seed: number;
@@ -28,52 +28,52 @@
 }
 
 const charactersPerToken = 4;
-const filler = "tents and crews and lakes and forms ";
+const fillerText = "tents and crews and lakes and forms ";
 
-const promptOf = (seed: number, index: number, promptTokens: number, answerTokens: number): string => {
+const createPrompt = (seed: number, index: number, promptTokens: number, answerTokens: number): string => {
     const head = `request ${seed}-${index} [[tokens=${answerTokens}]] `;
     const characters = promptTokens * charactersPerToken;
-    return (head + filler.repeat(Math.ceil(Math.max(0, characters - head.length) / filler.length))).slice(
+    return (head + fillerText.repeat(Math.ceil(Math.max(0, characters - head.length) / fillerText.length))).slice(
         0,
         characters,
     );
 };
 
-const pick = (mix: readonly MixPart[], random: Random): number => {
+const pickLength = (mix: readonly PromptClass[], random: Random): number => {
     const total = mix.reduce((sum, part) => sum + part.weight, 0);
-    let rest = random.next() * total;
+    let remainder = random.next() * total;
     for (const part of mix) {
-        rest -= part.weight;
-        if (rest < 0) {
+        remainder -= part.weight;
+        if (remainder < 0) {
             return part.promptTokens;
         }
     }
     return mix.at(-1)!.promptTokens;
 };
 
-/** As many lengths as the mix's weights say, shuffled by the seed. */
-const exactLengths = (mix: readonly MixPart[], random: Random): number[] => {
+/** Lists each prompt length as often as its weight says, in random order. */
+const exactLengths = (mix: readonly PromptClass[], random: Random): number[] => {
     const lengths = mix.flatMap(part => Array.from({ length: part.weight }, () => part.promptTokens));
     for (let index = lengths.length - 1; index > 0; index--) {
-        const other = Math.floor(random.next() * (index + 1));
-        [lengths[index], lengths[other]] = [lengths[other]!, lengths[index]!];
+        const otherIndex = Math.floor(random.next() * (index + 1));
+        [lengths[index], lengths[otherIndex]] = [lengths[otherIndex]!, lengths[index]!];
     }
     return lengths;
 };
 
-const lengthsOf = (plan: ArrivalPlan): number[] => {
+const planLengths = (plan: ArrivalPlan): number[] => {
     const random = seededRandom(plan.seed + 1);
     return plan.exact
         ? exactLengths(plan.mix, random)
-        : Array.from({ length: plan.requests }, () => pick(plan.mix, random));
+        : Array.from({ length: plan.requests }, () => pickLength(plan.mix, random));
 };
 
-/** All arrivals of a plan, in order. Prompts are made on demand: a million tokens are four megabytes. */
+/** Generates all arrivals of a plan in order. Prompts are created on demand, as a million tokens take four megabytes. */
 export function* planArrivals(plan: ArrivalPlan): Generator<Arrival, void> {
     const random = seededRandom(plan.seed);
     let at = 0;
-    for (const [index, promptTokens] of lengthsOf(plan).entries()) {
+    for (const [index, promptTokens] of planLengths(plan).entries()) {
         at += plan.ratePerSecond === 0 ? 0 : -Math.log(1 - random.next()) / plan.ratePerSecond * 1_000;
-        yield { index, at, promptTokens, prompt: promptOf(plan.seed, index, promptTokens, plan.answerTokens) };
+        yield { index, at, promptTokens, prompt: createPrompt(plan.seed, index, promptTokens, plan.answerTokens) };
     }
 }
--- a/src/load/booker.ts
+++ b/src/load/booker.ts
@@ -1,52 +1,52 @@
-/** A caller that books a place and asks again under the same key until it knows what became of it. */
+/** Books a place, and retries under the same idempotency key until the outcome is known. */
 import { Clock, Milliseconds, readBody, sendRequest } from "../internal.js";
 
-/** What a booking's caller was told last. */
-export enum BookingEnd {
+/** Outcome of a booking, as the last response states it. */
+export enum BookingOutcome {
     Booked = "booked",
     NotRun = "notRun",
     Unknown = "unknown",
     NoAnswer = "noAnswer",
 }
 
-/** One booking as its caller knows it. */
+/** Record of one booking, as its caller sees it. */
 export interface BookingRecord {
     key: string;
-    end: BookingEnd;
+    end: BookingOutcome;
     attempts: number;
-    /** Distinct whole answers: a repeat must get the first one. */
+    /** Distinct complete responses. There must be at most one, as a retry must receive the first response again. */
     answers: string[];
-    /** What the last refusal said. */
+    /** Detail of the last problem response. */
     detail?: string;
 }
 
-/** How to book. */
+/** Options of a booking. */
 export interface BookingOptions {
     customerKey: string;
     timeoutMilliseconds: Milliseconds;
     attempts: number;
 }
 
-const answerLimitBytes = 64 * 1024;
-const slackMilliseconds = 2_000;
-const pauseMilliseconds = 300;
-const retryAfterAtMostSeconds = 5;
+const maximumResponseBytes = 64 * 1024;
+const timeoutSlackMilliseconds = 2_000;
+const minimumRetryDelayMilliseconds = 300;
+const maximumRetryAfterSeconds = 5;
 
-/** What one attempt brought. */
+/** Result of one attempt. */
 interface AttemptResult {
-    end: BookingEnd;
+    end: BookingOutcome;
     text: string;
     detail?: string;
     retryAfterSeconds: number;
 }
 
-const attempt = async (
+const attemptBooking = async (
     target: string,
     key: string,
     options: BookingOptions,
 ): Promise<AttemptResult> => {
     try {
-        const answer = await sendRequest({
+        const response = await sendRequest({
             address: target,
             method: "POST",
             path: "/services/bookings/places",
@@ -56,22 +56,26 @@
                 "x-request-timeout-ms": String(options.timeoutMilliseconds),
             },
             body: key,
-            signal: AbortSignal.timeout(options.timeoutMilliseconds + slackMilliseconds),
+            signal: AbortSignal.timeout(options.timeoutMilliseconds + timeoutSlackMilliseconds),
         });
-        const text = (await readBody(answer.body, answerLimitBytes)).toString("utf8");
-        if (answer.status === 201) {
-            return { end: BookingEnd.Booked, text, retryAfterSeconds: 0 };
+        const text = (await readBody(response.body, maximumResponseBytes)).toString("utf8");
+        if (response.status === 201) {
+            return { end: BookingOutcome.Booked, text, retryAfterSeconds: 0 };
         }
         const { execution, detail } = JSON.parse(text) as { execution?: string; detail?: string; };
-        const end = execution === "not-run" ? BookingEnd.NotRun : BookingEnd.Unknown;
-        return { end, text, detail, retryAfterSeconds: Number(answer.headers["retry-after"] ?? 0) };
+        const end = execution === "not-run" ? BookingOutcome.NotRun : BookingOutcome.Unknown;
+        return { end, text, detail, retryAfterSeconds: Number(response.headers["retry-after"] ?? 0) };
     }
     catch {
-        return { end: BookingEnd.NoAnswer, text: "", retryAfterSeconds: 0 };
+        return { end: BookingOutcome.NoAnswer, text: "", retryAfterSeconds: 0 };
     }
 };
 
-/** Books at `targets` in turn, first at the one that `index` names. Never throws. */
+/**
+ * Sends a booking to `targets` in turn, starting at `index`. Never throws.
+ *
+ * A booking that succeeds at the first attempt is sent once more, to check that the retry receives the same response.
+ */
 export const bookOnce = async (
     clock: Clock,
     targets: readonly string[],
@@ -80,20 +84,20 @@
     options: BookingOptions,
 ): Promise<BookingRecord> => {
     const answers = new Set<string>();
-    let end = BookingEnd.NoAnswer;
+    let end = BookingOutcome.NoAnswer;
     let attempts = 0;
     let detail: string | undefined;
-    while (attempts < options.attempts && (end !== BookingEnd.Booked || attempts < 2)) {
-        const outcome = await attempt(targets[(index + attempts) % targets.length]!, key, options);
+    while (attempts < options.attempts && (end !== BookingOutcome.Booked || attempts < 2)) {
+        const result = await attemptBooking(targets[(index + attempts) % targets.length]!, key, options);
         attempts++;
-        detail = outcome.detail;
-        if (outcome.end === BookingEnd.Booked) {
-            answers.add(outcome.text);
+        detail = result.detail;
+        if (result.end === BookingOutcome.Booked) {
+            answers.add(result.text);
         }
-        // Once booked, a caller that asks again and hears less still knows that it is booked.
-        end = answers.size > 0 ? BookingEnd.Booked : outcome.end;
-        const retryAfter = Math.min(retryAfterAtMostSeconds, outcome.retryAfterSeconds) * 1_000;
-        await clock.sleep(Math.max(pauseMilliseconds, retryAfter));
+        // The booking stays booked even if a later attempt fails or gets no response.
+        end = answers.size > 0 ? BookingOutcome.Booked : result.end;
+        const retryAfter = Math.min(maximumRetryAfterSeconds, result.retryAfterSeconds) * 1_000;
+        await clock.sleep(Math.max(minimumRetryDelayMilliseconds, retryAfter));
     }
     return { key, end, attempts, answers: [...answers], detail };
 };
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -1,18 +1,18 @@
-/** Runs an experiment: open-loop arrivals over several entries, with faults at given times. */
+/** Runs an experiment: an open-loop load on several entries, with faults injected at given times. */
 import { Clock, Milliseconds, requestJson } from "../internal.js";
 import { ArrivalPlan, planArrivals } from "./arrivals.js";
 import { callOnce, CallOptions, CallRecord } from "./caller.js";
 
-/** A fault to be set on a stand-in while the load runs. */
+/** A fault that is injected into a stand-in during the load. */
 export interface TimedFault {
     at: Milliseconds;
-    /** Control port of the stand-in. */
+    /** Address of the stand-in's control port. */
     address: string;
     fault: string;
     value: number;
 }
 
-/** An experiment. */
+/** Load, target entries and faults of an experiment. */
 export interface Experiment {
     plan: ArrivalPlan;
     targets: readonly string[];
@@ -20,17 +20,17 @@
     faults: readonly TimedFault[];
 }
 
-const setFault = async (clock: Clock, fault: TimedFault): Promise<void> => {
+const injectFault = async (clock: Clock, fault: TimedFault): Promise<void> => {
     await clock.sleep(fault.at);
     const order = { fault: fault.fault, value: fault.value };
     await requestJson({ address: fault.address, method: "POST", path: "/faults" }, order);
 };
 
-/** Sends every request at its time, whatever became of those before, and waits for all of them. */
+/** Sends each request at its arrival time, without waiting for earlier ones, and resolves when all have ended. */
 export const runExperiment = async (clock: Clock, experiment: Experiment): Promise<CallRecord[]> => {
     const startedAt = clock.now();
     const calls: Promise<CallRecord>[] = [];
-    const faults = experiment.faults.map(fault => setFault(clock, fault));
+    const faults = experiment.faults.map(fault => injectFault(clock, fault));
     for (const arrival of planArrivals(experiment.plan)) {
         const wait = startedAt + arrival.at - clock.now();
         if (wait > 0) {
--- a/src/replay/pattern.ts
+++ b/src/replay/pattern.ts
@@ -1,117 +1,118 @@
-/** Load patterns: what arrives, on which engines, and what fails when. Read from INI. */
+/** Reads load patterns from INI files: the requests that arrive, the engines that serve them, and the faults. */
 import * as z from "zod";
 import type { EngineProfile } from "../types/routing.js";
 import { parseNonNegativeNumber } from "../utils/numbers.js";
 import { readSettings, setting } from "../utils/settings.js";
 
-const expected = "expected a number of at least 0";
+const nonNegativeMessage = "expected a number of at least 0";
 
-const number = () =>
-    z.string(expected).refine(text => parseNonNegativeNumber(text) !== undefined, expected).transform(Number);
+const nonNegativeNumber = () =>
+    z.string(nonNegativeMessage).refine(text => parseNonNegativeNumber(text) !== undefined, nonNegativeMessage)
+        .transform(Number);
 
-const optional = (usual: number) => number().prefault(String(usual));
+const optionalNumber = (defaultValue: number) => nonNegativeNumber().prefault(String(defaultValue));
 
-const share = () =>
+const ratio = () =>
     z.string("expected a number from 0 to 1")
         .refine(text => (parseNonNegativeNumber(text) ?? 2) <= 1, "expected a number from 0 to 1")
         .transform(Number);
 
-/** What happens to endpoints, or to entries. */
-export enum FaultKind {
-    /** They crash, and come back cold after the time. */
-    Lost = "lost",
-    /** They take connections and say nothing. */
-    Silent = "silent",
-    /** Each pass takes as many times as long as the strength says. */
+/** Faults that a pattern can inject into endpoints or entries. */
+export enum FaultType {
+    /** The endpoints crash, and come back cold after the fault's duration. */
+    Crashed = "lost",
+    /** The endpoints accept connections but don't respond. */
+    Unresponsive = "silent",
+    /** Each engine pass takes `strength` times as long. */
     Slow = "slow",
-    /** Their answers name as many requests a second as the strength says, for all entries together. */
+    /** Responses advertise a limit of `strength` requests per second, summed over all entries. */
     Limited = "limited",
-    /** Operators take the data centre out, and back after the time. */
-    Out = "out",
-    /** Entries hear nothing of one another; all else reaches them. */
-    EntriesCut = "entriesCut",
+    /** Operators take the data centre out, and bring it back in after the fault's duration. */
+    DataCentreOut = "out",
+    /** Entries receive no messages from one another; all other traffic reaches them. */
+    EntriesPartitioned = "entriesCut",
 }
 
-const kindSchema = z.strictObject({
-    /** Requests a second, over all callers. */
-    rate: number(),
-    promptTokens: number(),
+const requestKindSchema = z.strictObject({
+    /** Requests per second, over all callers. */
+    rate: nonNegativeNumber(),
+    promptTokens: nonNegativeNumber(),
     /** Standard deviation of the logarithm of a prompt's length. */
-    promptSpread: optional(0),
-    promptAtMost: optional(Number.MAX_SAFE_INTEGER),
-    answerEvents: number(),
-    answerSpread: optional(0),
-    answerAtMost: optional(Number.MAX_SAFE_INTEGER),
-    /** Milliseconds to the first event, and between events, that callers want. */
-    target: number(),
-    targetGap: number(),
-    /** Milliseconds that a caller waits for the whole answer. */
-    timeout: number(),
-    /** Worth of an answer of mean length in time; and when it is late. */
-    worth: number(),
-    worthLate: number(),
+    promptSpread: optionalNumber(0),
+    promptAtMost: optionalNumber(Number.MAX_SAFE_INTEGER),
+    answerEvents: nonNegativeNumber(),
+    answerSpread: optionalNumber(0),
+    answerAtMost: optionalNumber(Number.MAX_SAFE_INTEGER),
+    /** Target time to the first event, and target gap between events, in milliseconds. */
+    target: nonNegativeNumber(),
+    targetGap: nonNegativeNumber(),
+    /** Milliseconds that a caller waits for the complete response. */
+    timeout: nonNegativeNumber(),
+    /** Value of a request with a prompt of mean length when its response is in time, and when it is late. */
+    worth: nonNegativeNumber(),
+    worthLate: nonNegativeNumber(),
 });
 
 const burstSchema = z.strictObject({
     kind: setting.text(),
-    /** Seconds from the start of traffic, and how long. */
-    at: number(),
-    seconds: number(),
-    /** Factor on the rate of the kind. */
-    factor: number(),
+    /** Start, in seconds from the start of traffic, and duration in seconds. */
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
+    /** Multiplies the rate of the kind. */
+    factor: nonNegativeNumber(),
 });
 
 const rushSchema = z.strictObject({
-    /** The customer's rank by size, from 1. */
+    /** The customer's rank by size, starting at 1. */
     customer: setting.wholeNumber(1),
-    at: number(),
-    seconds: number(),
-    /** How many times its usual it sends, of all kinds. */
-    factor: number(),
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
+    /** Multiplies the customer's usual rate of every kind. */
+    factor: nonNegativeNumber(),
 });
 
 const faultSchema = z.strictObject({
-    type: setting.oneOf(FaultKind),
-    at: number(),
-    seconds: number(),
-    /** Part of the endpoints or entries, taken from `dataCentre` where one is given. */
-    share: share().prefault("1"),
+    type: setting.oneOf(FaultType),
+    at: nonNegativeNumber(),
+    seconds: nonNegativeNumber(),
+    /** Share of the endpoints or entries that the fault affects; only those in `dataCentre`, if it is set. */
+    share: ratio().prefault("1"),
     dataCentre: z.string().optional(),
-    strength: optional(1),
+    strength: optionalNumber(1),
 });
 
 const patternSchema = z.strictObject({
     pattern: z.strictObject({
-        /** Seconds of traffic. */
-        seconds: number(),
+        /** Duration of the traffic in seconds. */
+        seconds: nonNegativeNumber(),
         entries: setting.wholeNumber(1),
         dataCentres: setting.wholeNumber(1),
-        /** Customers, the first the largest; without any, callers need no keys. */
-        customers: optional(0),
-        /** Milliseconds on the way between two instances, one way. */
-        delay: optional(0.5),
-        /** Part of the datagrams between entries that is lost. */
-        loss: share().prefault("0"),
-        /** Requests a second that a cold endpoint bears, and seconds for which it is cold. */
-        coldPerSecond: optional(30),
-        coldSeconds: optional(3),
+        /** Number of customers, the first one the largest. With 0, callers need no keys. */
+        customers: optionalNumber(0),
+        /** One-way network delay between two instances, in milliseconds. */
+        delay: optionalNumber(0.5),
+        /** Share of the datagrams between entries that is lost. */
+        loss: ratio().prefault("0"),
+        /** Requests per second that a cold endpoint can serve, and how many seconds it stays cold. */
+        coldPerSecond: optionalNumber(30),
+        coldSeconds: optionalNumber(3),
     }),
     engines: z.strictObject({
         count: setting.wholeNumber(1),
         slots: setting.wholeNumber(1),
-        memoryTokens: number(),
-        stepTime: number(),
-        stepTimePerRequest: optional(0),
-        stepTimePerThousandTokens: optional(0),
-        readTokensPerSecond: number(),
-        readTimePerMillionPairs: optional(0),
-        chunkTokens: optional(2_048),
+        memoryTokens: nonNegativeNumber(),
+        stepTime: nonNegativeNumber(),
+        stepTimePerRequest: optionalNumber(0),
+        stepTimePerThousandTokens: optionalNumber(0),
+        readTokensPerSecond: nonNegativeNumber(),
+        readTimePerMillionPairs: optionalNumber(0),
+        chunkTokens: optionalNumber(2_048),
         stepsPerPass: setting.wholeNumber(1),
-        hopTime: optional(0),
-        /** Milliseconds for which work stalls that depends on a dead engine. */
-        stallTime: optional(1_500),
+        hopTime: optionalNumber(0),
+        /** Milliseconds for which work that depends on a crashed engine stalls. */
+        stallTime: optionalNumber(1_500),
     }),
-    kind: z.record(z.string(), kindSchema, "expected sections [kind.NAME]"),
+    kind: z.record(z.string(), requestKindSchema, "expected sections [kind.NAME]"),
     burst: z.record(z.string(), burstSchema).default({}),
     rush: z.record(z.string(), rushSchema).default({}),
     fault: z.record(z.string(), faultSchema).default({}),
@@ -140,23 +141,23 @@
     }
 });
 
-/** A checked pattern. */
+/** A validated load pattern. */
 export type Pattern = z.infer<typeof patternSchema>;
 
-/** One kind of request. */
-export type PatternKind = z.infer<typeof kindSchema>;
+/** One kind of request in a load pattern. */
+export type PatternRequestKind = z.infer<typeof requestKindSchema>;
 
-/** Reads a pattern. Throws a settings error that names file, section and field. */
+/** Reads a pattern. Throws a `SettingsError` that names the file, section and field. */
 export const readPattern = (file: string): Pattern => readSettings(file, patternSchema);
 
-/** The engines as their service publishes them. */
-export const engineProfileOf = (pattern: Pattern): EngineProfile => {
+/** Engine profile as the engines' service publishes it; the usual sizes are means weighted by each kind's rate. */
+export const createEngineProfile = (pattern: Pattern): EngineProfile => {
     const { count, stallTime, ...profile } = pattern.engines;
     void [count, stallTime];
     const kinds = Object.values(pattern.kind);
     const rate = kinds.reduce((sum, kind) => sum + kind.rate, 0);
-    const mean = (value: (kind: PatternKind) => number) =>
-        kinds.reduce((sum, kind) => sum + kind.rate * value(kind), 0) / rate;
-    const answerTokens = mean(({ answerEvents }) => answerEvents) * profile.stepsPerPass;
-    return { ...profile, usual: { promptTokens: mean(({ promptTokens }) => promptTokens), answerTokens } };
+    const meanByRate = (valueOfKind: (kind: PatternRequestKind) => number) =>
+        kinds.reduce((sum, kind) => sum + kind.rate * valueOfKind(kind), 0) / rate;
+    const answerTokens = meanByRate(({ answerEvents }) => answerEvents) * profile.stepsPerPass;
+    return { ...profile, usual: { promptTokens: meanByRate(({ promptTokens }) => promptTokens), answerTokens } };
 };
--- a/src/replay/simulatedClock.ts
+++ b/src/replay/simulatedClock.ts
@@ -1,28 +1,29 @@
-/** A clock whose time goes on as fast as its events are worked off. */
+/** A clock in simulated time, which advances from event to event without waiting. */
 import { setImmediate } from "node:timers";
 import TinyQueue from "tinyqueue";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 
-interface Event {
+interface ScheduledEvent {
     at: Milliseconds;
-    /** Keeps events of the same time in the order in which they were asked for. */
-    order: number;
+    /** Orders events of the same time by when they were scheduled. */
+    sequenceNumber: number;
     action: (() => void) | undefined;
 }
 
-/** Wall time at the clock's zero; only its differences mean anything. */
+/** Wall time at simulated time 0. An arbitrary value: only differences of wall times are used. */
 const wallTimeAtZero = 1_700_000_000_000;
 
-const inOrder = (left: Event, right: Event): number => left.at - right.at || left.order - right.order;
+const compareEvents = (left: ScheduledEvent, right: ScheduledEvent): number =>
+    left.at - right.at || left.sequenceNumber - right.sequenceNumber;
 
-/** Lets everything that is ready go on before time does. */
-const settle = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
+/** Runs all pending promise callbacks, so that they finish before time advances. */
+const runPendingTasks = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
-/** Simulated time. */
+/** Clock in simulated time. */
 export class SimulatedClock implements Clock {
     private time: Milliseconds = 0;
-    private order = 0;
-    private readonly events = new TinyQueue<Event>([], inOrder);
+    private nextSequenceNumber = 0;
+    private readonly queue = new TinyQueue<ScheduledEvent>([], compareEvents);
 
     readonly now = (): Milliseconds => this.time;
 
@@ -44,22 +45,26 @@
         });
 
     readonly after = (duration: Milliseconds, action: () => void): () => void => {
-        const event: Event = { at: this.time + Math.max(0, duration), order: this.order++, action };
-        this.events.push(event);
+        const event: ScheduledEvent = {
+            at: this.time + Math.max(0, duration),
+            sequenceNumber: this.nextSequenceNumber++,
+            action,
+        };
+        this.queue.push(event);
         return () => {
             event.action = undefined;
         };
     };
 
-    /** Works off all events up to `until`. */
+    /** Advances to `until` and runs all events that are due by then. */
     async run(until: Milliseconds): Promise<void> {
-        await settle();
-        for (let next = this.events.peek(); next && next.at <= until; next = this.events.peek()) {
-            this.events.pop();
+        await runPendingTasks();
+        for (let next = this.queue.peek(); next && next.at <= until; next = this.queue.peek()) {
+            this.queue.pop();
             if (next.action) {
                 this.time = next.at;
                 next.action();
-                await settle();
+                await runPendingTasks();
             }
         }
         this.time = until;
