--- a/__performance_tests__/start.js
+++ b/__performance_tests__/start.js
@@ -70,7 +70,7 @@
 /** Measures starts with few and with many routes. */
 export const measureStart = async () => {
     const store = new StoreServer(systemClock);
-    const { address } = await store.door();
+    const { address } = await store.openListener();
     const result = [];
     for (const routes of routeCounts) {
         store.model.put("config", "main", configuration(routes));
--- a/__tests__/atMostOnce.test.ts
+++ b/__tests__/atMostOnce.test.ts
@@ -56,7 +56,7 @@
 const holderPaused = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     const holder = entry(0);
     callers.book(holder, "family-3", 60_000);
-    const claimed = () => [...world.platform.all("claim" as never)].length > 0;
+    const claimed = () => [...world.platform.objectsOfKind("claim" as never)].length > 0;
     await world.advanceUntil(claimed, 1_000);
     world.freeze(holder);
     await pass(3_000);
@@ -91,7 +91,7 @@
 test("lost answers of the platform", async () => {
     // Half of the platform's writes succeed but lose their response. Bookings must run once, and repeats get the response.
     const lossy = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
-        world.platform.faults.lostAnswers = 0.5;
+        world.platform.faults.lostResponseShare = 0.5;
         const first = callers.book(entry(0), "family-5");
         await pass(5_000);
         const again = callers.book(entry(1), "family-5");
--- a/__tests__/coldStart.test.ts
+++ b/__tests__/coldStart.test.ts
@@ -32,7 +32,7 @@
             scene.callers.generate(scene.entry(index % 3), { tokens: 100, answerTokens: 60 });
         }
         if (round % 5 === 2) {
-            scene.world.engines[Math.floor(round / 5)]!.model.goCold();
+            scene.world.engines[Math.floor(round / 5)]!.model.fallIntoColdStart();
         }
         await scene.pass(300);
     }
--- a/__tests__/configurationHolds.test.ts
+++ b/__tests__/configurationHolds.test.ts
@@ -12,13 +12,13 @@
 /** Operators change the same profile at three entries at once, while responses of the platform are lost. */
 const racing = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    world.platform.faults.lostAnswers = 0.4;
+    world.platform.faults.lostResponseShare = 0.4;
     for (let round = 0; round < 6; round++) {
         const changes = [0, 1, 2].map(index => callers.change(entry(index), "raced", 100 + round * 10 + index));
         const [outcomes] = await Promise.all([Promise.all(changes), pass(3_000)]);
         expect(outcomes.filter(outcome => outcome === "Accepted").length).toBeGreaterThan(0);
     }
-    world.platform.faults.lostAnswers = 0;
+    world.platform.faults.lostResponseShare = 0;
     await pass(2_000);
     expect(new Set(heldValues(scene, "raced")).size).toBe(1);
 };
@@ -30,10 +30,10 @@
 /** The response to a change is lost, and another operator changes the object. An unconditional retry would revert that. */
 const lostAnswer = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
-    world.platform.faults.lostAnswers = 1;
+    world.platform.faults.lostResponseShare = 1;
     const first = callers.change(entry(0), "lost", 111);
     await pass(40);
-    world.platform.faults.lostAnswers = 0;
+    world.platform.faults.lostResponseShare = 0;
     const second = callers.change(entry(1), "lost", 222);
     const [outcomes] = await Promise.all([Promise.all([first, second]), pass(3_000)]);
     expect(outcomes).toContain("Accepted");
--- a/__tests__/deadlines.test.ts
+++ b/__tests__/deadlines.test.ts
@@ -86,7 +86,7 @@
  */
 const silentHomes = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     for (const engine of world.engines) {
-        engine.model.goCold();
+        engine.model.fallIntoColdStart();
     }
     await pass(1_500);
     world.freeze(entry(1));
--- a/__tests__/forwarding/answers.test.ts
+++ b/__tests__/forwarding/answers.test.ts
@@ -39,7 +39,7 @@
 
 test("answer to another request", async () => {
     setFault((...[, response, replica]) => {
-        response.writeHead(200, replica.answerHeaders("another")).end("somebody's bunk");
+        response.writeHead(200, replica.responseHeaders("another")).end("somebody's bunk");
         return true;
     });
     expect((await call(entry.callers, "/places/a")).status).toBe(502);
@@ -47,7 +47,7 @@
 
 test("encoded answer", async () => {
     setFault(({ id }, response, replica) => {
-        response.writeHead(200, { ...replica.answerHeaders(id), "content-encoding": "gzip" }).end("bytes");
+        response.writeHead(200, { ...replica.responseHeaders(id), "content-encoding": "gzip" }).end("bytes");
         return true;
     });
     expect((await call(entry.callers, "/places/a")).status).toBe(502);
@@ -92,7 +92,7 @@
     // The replica responds 503 without its guarantee that the request has not run. If the entry passed 503 on, it would tell
     // the caller that the booking never ran.
     setFault(({ id }, response, replica) => {
-        response.writeHead(503, replica.answerHeaders(id)).end();
+        response.writeHead(503, replica.responseHeaders(id)).end();
         return true;
     });
     const answer = await call(entry.callers, "/places/a");
--- a/__tests__/forwarding/configuration.test.ts
+++ b/__tests__/forwarding/configuration.test.ts
@@ -31,9 +31,9 @@
 test("no calls but watches while nothing changes", async () => {
     const { door } = await site.start("entry-1");
     await systemClock.sleep(200);
-    const before = door.calls;
+    const before = door.callCount;
     await systemClock.sleep(700);
-    expect(door.calls - before).toBeLessThanOrEqual(3);
+    expect(door.callCount - before).toBeLessThanOrEqual(3);
 });
 
 test("entry lists again after the store has lost its history", async () => {
@@ -43,7 +43,7 @@
     door.refusal = Refusal.Reset;
     await systemClock.sleep(2_100);
     site.configure(2);
-    site.store.model.forget();
+    site.store.model.compactHistory();
     door.refusal = Refusal.None;
     await until(() => entry.configuration.version === 2);
 });
@@ -99,7 +99,7 @@
     for (const { entry, door } of later) {
         expect(entry.configuration.version).toBe(1);
         // Some of these entries watch the store for all; none has listed it.
-        expect(door.calls).toBeLessThanOrEqual(3);
+        expect(door.callCount).toBeLessThanOrEqual(3);
     }
 });
 
@@ -235,13 +235,13 @@
 test("write is repeated after its response was lost", async () => {
     // The store writes an entry's record, but its response is lost. The entry writes again, and must not mistake its own record
     // for another entry's.
-    const door = await site.store.door();
-    door.losesAnswers = true;
+    const door = await site.store.openListener();
+    door.losesResponses = true;
     const { StoreClient } = await import("../../platform/storeClient.js");
     const client = new StoreClient(door.address, systemClock);
     const { signal } = new AbortController();
     await expect(client.announce("entry-9", { address: "127.0.0.1:9" }, signal)).rejects.toThrow();
-    door.losesAnswers = false;
+    door.losesResponses = false;
     await client.announce("entry-9", { address: "127.0.0.1:9" }, signal);
     expect(site.store.model.get("entries", "entry-9")?.value).toEqual({ address: "127.0.0.1:9" });
 });
--- a/__tests__/forwarding/engineEstimate.test.ts
+++ b/__tests__/forwarding/engineEstimate.test.ts
@@ -3,7 +3,7 @@
 import { WorkPart } from "../../src/core/placement/engineEstimate.js";
 import { LoadEstimator } from "../../src/core/placement/loadEstimator.js";
 import { SimulatedClock } from "../../src/replay/simulatedClock.js";
-import { type EngineWork, PassEngine } from "../../src/standins/passEngineModel.js";
+import { PassEngine, type PassEngineRequest } from "../../src/standins/passEngine.js";
 import type { EngineProfile } from "../../src/types/routing.js";
 
 const engine: EngineProfile = {
@@ -29,7 +29,14 @@
 
     /** Sends a request to the engine, and records it in the estimate as an entry does. */
     send(id: string, promptTokens: number, events = 100): void {
-        const work: EngineWork = { id, promptTokens, events, from: 0, priority: 1, helpers: [] };
+        const work: PassEngineRequest = {
+            id,
+            promptTokens,
+            eventCount: events,
+            deliveredEventCount: 0,
+            priority: 1,
+            helpers: [],
+        };
         void this.simulatedEngine.run(work, event => this.recordEvent(id, event), new AbortController().signal).catch(
             () => {},
         );
@@ -85,7 +92,7 @@
     // An endpoint has accepted a request and stalls. The only evidence is the missing first event; otherwise the endpoint
     // looks idle and would get all requests.
     const fixture = new Fixture();
-    fixture.simulatedEngine.slowness = 20;
+    fixture.simulatedEngine.passTimeFactor = 20;
     fixture.send("stalled", 2_000);
     await fixture.clock.run(150);
     expect(fixture.estimator.loadOf("e").overdueTime).toBe(50);
--- a/__tests__/forwarding/largePrompts.test.ts
+++ b/__tests__/forwarding/largePrompts.test.ts
@@ -120,7 +120,7 @@
     expect(reservationCount()).toBeGreaterThan(0);
     await until(() => {
         for (const engine of site.engines.values()) {
-            expect(engine.memoryUsed).toBeGreaterThanOrEqual(0);
+            expect(engine.memoryUsedTokens).toBeGreaterThanOrEqual(0);
         }
         return reservationCount() === 0;
     });
--- a/__tests__/forwarding/limits.test.ts
+++ b/__tests__/forwarding/limits.test.ts
@@ -27,7 +27,7 @@
     let limit: string | undefined = "1.5";
     replica.fault = (arrival, response, own) => {
         const limitHeader: Record<string, string> = limit === undefined ? {} : { [header.limit]: limit };
-        response.writeHead(200, { ...own.answerHeaders(arrival.id), ...limitHeader, "content-length": "0" }).end();
+        response.writeHead(200, { ...own.responseHeaders(arrival.id), ...limitHeader, "content-length": "0" }).end();
         return true;
     };
     const answer = await call(callers, "/lookups/a");
@@ -46,7 +46,7 @@
     const { callers } = await site.start("entry-1");
     await site.start("entry-2");
     replica.fault = (arrival, response, own) => {
-        response.writeHead(200, { ...own.answerHeaders(arrival.id), [header.limit]: "1.5", "content-length": "0" })
+        response.writeHead(200, { ...own.responseHeaders(arrival.id), [header.limit]: "1.5", "content-length": "0" })
             .end();
         return true;
     };
--- a/__tests__/forwarding/program.test.ts
+++ b/__tests__/forwarding/program.test.ts
@@ -57,7 +57,7 @@
 });
 
 const settingsText = async (changes: Record<string, string> = {}): Promise<string> => {
-    const { address } = await site.store.door();
+    const { address } = await site.store.openListener();
     const values: Record<string, string> = {
         node_name: "entry-1",
         zone: "north-a",
--- a/__tests__/forwarding/requests.test.ts
+++ b/__tests__/forwarding/requests.test.ts
@@ -74,7 +74,7 @@
     const answer = await call(entry.callers, "/lookups/a", { headers: { "dandelionramp-deadline-ms": "5000" } });
     expect(answer.status).toBe(504);
     expect(answer.took).toBeLessThan(5_000);
-    await until(() => replica.cancelled.length === 1);
+    await until(() => replica.cancelledRequestIds.length === 1);
 });
 
 test("traffic split follows its weights", async () => {
@@ -136,7 +136,7 @@
     await until(() => entry.entry.directory.usable("bookings").length === 2);
     for (const each of site.replicas.values()) {
         each.fault = ({ id }, response) => {
-            each.ran(id);
+            each.recordRun(id);
             response.socket?.destroy();
             return true;
         };
@@ -186,7 +186,7 @@
 test("endpoint's own failure is passed on", async () => {
     const { replica, entry } = await bookings();
     replica.fault = ({ id }, response) => {
-        response.writeHead(500, replica.answerHeaders(id)).end("no bunk");
+        response.writeHead(500, replica.responseHeaders(id)).end("no bunk");
         return true;
     };
     const answer = await call(entry.callers, "/places/a");
@@ -230,7 +230,7 @@
             if (headers["last-event-id"] !== undefined) {
                 return false;
             }
-            response.writeHead(200, { ...replica.answerHeaders(id), "content-type": "text/event-stream" });
+            response.writeHead(200, { ...replica.responseHeaders(id), "content-type": "text/event-stream" });
             response.write("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
             setTimeout(() => response.destroy(), 30);
             return true;
@@ -246,7 +246,7 @@
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
         replica.fault = ({ id }, response) => {
-            response.writeHead(200, { ...replica.answerHeaders(id), "content-type": "text/event-stream" });
+            response.writeHead(200, { ...replica.responseHeaders(id), "content-type": "text/event-stream" });
             response.write("id: 1\ndata: a\n\n");
             setTimeout(() => response.destroy(), 30);
             return true;
@@ -263,7 +263,7 @@
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
         replica.fault = ({ id }, response) => {
-            response.writeHead(200, { ...replica.answerHeaders(id), "content-type": "text/event-stream" });
+            response.writeHead(200, { ...replica.responseHeaders(id), "content-type": "text/event-stream" });
             response.write("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
             setTimeout(() => response.destroy(), 30);
             return true;
@@ -285,8 +285,8 @@
     await until(() => first.runs.size + second.runs.size === 1);
     disconnect.abort();
     await pendingCall;
-    await until(() => first.cancelled.length + second.cancelled.length === 1);
-    await until(() => [...site.engines.values()].every(engine => engine.active === 0));
+    await until(() => first.cancelledRequestIds.length + second.cancelledRequestIds.length === 1);
+    await until(() => [...site.engines.values()].every(engine => engine.activeCount === 0));
 });
 
 test("cancelled order resets its connection", async () => {
@@ -382,7 +382,7 @@
     expect(answer.status).toBe(200);
     expect(eventIds(answer.body)).toEqual([1, 2, 3, 4, 5]);
     expect(first.arrivals.length + second.arrivals.length).toBe(2);
-    await until(() => first.cancelled.length + second.cancelled.length === 1);
+    await until(() => first.cancelledRequestIds.length + second.cancelledRequestIds.length === 1);
 });
 
 test("stalled stream continues at another endpoint", async () => {
@@ -392,7 +392,7 @@
             if (first.arrivals.length + second.arrivals.length > 1) {
                 return false;
             }
-            response.writeHead(200, { ...replica.answerHeaders(id), "content-type": "text/event-stream" });
+            response.writeHead(200, { ...replica.responseHeaders(id), "content-type": "text/event-stream" });
             response.write("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
             return true;
         };
--- a/__tests__/forwarding/support/site.ts
+++ b/__tests__/forwarding/support/site.ts
@@ -4,11 +4,11 @@
 import { platformWire } from "../../../platform/forwardingWire.js";
 import { ReplicaOrders } from "../../../platform/replicaOrders.js";
 import { ReplicaServer } from "../../../platform/standins/replicaServer.js";
-import { Refusal, type StoreDoor, StoreServer } from "../../../platform/standins/storeServer.js";
+import { Refusal, type StoreListener, StoreServer } from "../../../platform/standins/storeServer.js";
 import { StoreClient } from "../../../platform/storeClient.js";
 import type { ForwardingSettings } from "../../../src/adapters/forwarding/entrySettings.js";
 import { ForwardingEntry } from "../../../src/adapters/forwarding/forwardingEntry.js";
-import { PassEngine } from "../../../src/standins/passEngineModel.js";
+import { PassEngine } from "../../../src/standins/passEngine.js";
 import { type EngineProfile, PlacementPolicy } from "../../../src/types/routing.js";
 import { splitAddress } from "../../../src/utils/address.js";
 import { systemClock } from "../../../src/utils/clock.js";
@@ -98,7 +98,7 @@
 /** A running entry of the site, and its addresses. */
 export interface SiteEntry {
     entry: ForwardingEntry;
-    door: StoreDoor;
+    door: StoreListener;
     callers: string;
     readiness: string;
     metrics: string;
@@ -169,7 +169,7 @@
 
     /** Starts an entry; waits until it is ready unless `wait` is false. */
     async start(id: string, wait = true, options: StartOptions = {}): Promise<SiteEntry> {
-        const door = await this.store.door();
+        const door = await this.store.openListener();
         door.refusal = options.refusal ?? Refusal.None;
         door.delay = options.delay ?? 0;
         const settings: ForwardingSettings = {
--- a/__tests__/fuzz/commands.ts
+++ b/__tests__/fuzz/commands.ts
@@ -124,7 +124,7 @@
                 void engine.model.crash();
                 return;
             case "cold":
-                engine.model.goCold();
+                engine.model.fallIntoColdStart();
                 return;
             case "silent":
                 engine.silence++;
@@ -192,8 +192,8 @@
                 later(milliseconds, () => faults.slowMilliseconds = 0);
                 return;
             case "loseAnswers":
-                faults.lostAnswers = 0.5;
-                later(milliseconds, () => faults.lostAnswers = 0);
+                faults.lostResponseShare = 0.5;
+                later(milliseconds, () => faults.lostResponseShare = 0);
                 return;
             case "silentWatches":
                 faults.silentWatches = true;
--- a/__tests__/load.test.ts
+++ b/__tests__/load.test.ts
@@ -4,7 +4,7 @@
 import { ArrivalPlan, planArrivals } from "../src/load/arrivals.js";
 import { callOnce, CallOutcome, CallRecord } from "../src/load/caller.js";
 import { summarize } from "../src/load/report.js";
-import { expectedAnswer } from "../src/standins/answer.js";
+import { expectedResponse } from "../src/standins/expectedResponse.js";
 
 const plan: ArrivalPlan = {
     requests: 50,
@@ -27,7 +27,7 @@
 });
 
 const prompt = "a form [[tokens=8]]";
-const whole = expectedAnswer(prompt, 8);
+const whole = expectedResponse(prompt, 8);
 let answer = "";
 let server: Listener;
 
--- a/__tests__/poison.test.ts
+++ b/__tests__/poison.test.ts
@@ -3,7 +3,7 @@
 import { FailureKind } from "../src/internal.js";
 import { play, Scene } from "./support/scenario.js";
 
-const crashes = ({ world }: Scene): number => world.engines.reduce((sum, engine) => sum + engine.model.crashes, 0);
+const crashes = ({ world }: Scene): number => world.engines.reduce((sum, engine) => sum + engine.model.crashCount, 0);
 
 /** One prompt crashes each engine that runs it. Its caller sends it again and again, by every entry. */
 const sentAgain = async (scene: Scene): Promise<void> => {
--- a/__tests__/standins.test.ts
+++ b/__tests__/standins.test.ts
@@ -1,4 +1,4 @@
-/** The stand-ins keep their own promises, or nothing proved against them means anything. */
+/** Verifies the behaviour of the stand-ins. A wrong stand-in would invalidate every test that runs against it. */
 import { expect, test } from "vitest";
 import {
     absentVersion,
@@ -9,10 +9,10 @@
     seededRandom,
     systemClock,
 } from "../src/internal.js";
-import { expectedAnswer } from "../src/standins/answer.js";
 import { defaultEngineShape, EngineModel, EngineShape } from "../src/standins/engineModel.js";
 import { startEngine } from "../src/standins/engineServer.js";
-import { serveFaults } from "../src/standins/faultPort.js";
+import { expectedResponse } from "../src/standins/expectedResponse.js";
+import { serveControlPort } from "../src/standins/faultPort.js";
 import { PlatformModel } from "../src/standins/platformModel.js";
 import { startPlatform } from "../src/standins/platformServer.js";
 
@@ -44,9 +44,9 @@
     return text;
 };
 
-test("engine answers by its prompt", async () => {
+test("engine derives its response from the prompt", async () => {
     const engine = newEngine();
-    expect(await readAll(engine.open(requestOf("a.0", "a tent")))).toBe(expectedAnswer("a tent", 40));
+    expect(await readAll(engine.open(requestOf("a.0", "a tent")))).toBe(expectedResponse("a tent", 40));
     expect(engine.memoryUsedTokens).toBe(0);
 });
 
@@ -56,7 +56,7 @@
     expect(() => engine.open(requestOf("b.0", "x"))).toThrow("memory");
 });
 
-test("short goes before long in one engine", async () => {
+test("engine prefills a short prompt before a long one", async () => {
     const engine = newEngine({ tokensPerStep: 100 });
     const long = readAll(engine.open(requestOf("long.0", "x".repeat(40_000), EnginePriority.Long)));
     const short = readAll(engine.open(requestOf("short.0", "y".repeat(400), EnginePriority.Short)));
@@ -67,20 +67,20 @@
 test("stream is resumed at its offset", async () => {
     const engine = newEngine();
     const whole = await readAll(engine.open(requestOf("a.0", "[[tokens=10]] a lake")));
-    const rest = await readAll(engine.resume("a.0", 4));
-    expect(whole.endsWith(rest)).toBe(true);
-    expect(whole.split(" ").length - rest.split(" ").length).toBe(4);
+    const resumed = await readAll(engine.resume("a.0", 4));
+    expect(whole.endsWith(resumed)).toBe(true);
+    expect(whole.split(" ").length - resumed.split(" ").length).toBe(4);
 });
 
-test("cold engine falls over when overloaded", () => {
+test("overloaded cold engine crashes", () => {
     const engine = newEngine({ startWarm: false, coldConcurrency: 1 });
     engine.open(requestOf("a.0", "one"));
-    expect(() => engine.open(requestOf("b.0", "two"))).toThrow("fell over");
+    expect(() => engine.open(requestOf("b.0", "two"))).toThrow("the cold engine was overloaded and crashed");
     expect(engine.coldOverloads).toBe(1);
     expect(engine.isUp).toBe(false);
 });
 
-test("prompt that crashes the engine", async () => {
+test("engine crashes on a prompt with the crash marker", async () => {
     const engine = newEngine();
     const before = engine.incarnation;
     await expect(readAll(engine.open(requestOf("a.0", "[[crash]]")))).rejects.toThrow("died");
@@ -89,26 +89,26 @@
     expect(engine.isCold).toBe(true);
 });
 
-test("old fences are refused where they are checked", () => {
+test("order with an outdated fence is rejected while fences are enforced", () => {
     const engine = newEngine({ enforceFences: true });
-    expect(engine.order({ fence: 5, wanted: { model: "new" } })).toBe(true);
-    expect(engine.order({ fence: 4, wanted: { model: "old" } })).toBe(false);
+    expect(engine.applyOrder({ fence: 5, wanted: { model: "new" } })).toBe(true);
+    expect(engine.applyOrder({ fence: 4, wanted: { model: "old" } })).toBe(false);
     expect(engine.wanted).toEqual({ model: "new" });
 });
 
-test("old fences are taken where they are not", () => {
+test("order with an outdated fence is applied while fences are not enforced", () => {
     const engine = newEngine({ enforceFences: false });
-    engine.order({ fence: 5, wanted: { model: "new" } });
-    expect(engine.order({ fence: 4, wanted: { model: "old" } })).toBe(true);
+    engine.applyOrder({ fence: 5, wanted: { model: "new" } });
+    expect(engine.applyOrder({ fence: 4, wanted: { model: "old" } })).toBe(true);
     expect(engine.wanted).toEqual({ model: "old" });
 });
 
 test("exported cache holds memory until released", async () => {
     const engine = newEngine({ tokensPerStep: 50 });
-    const reading = readAll(engine.open(requestOf("a.0", "x".repeat(2_000))));
+    const completed = readAll(engine.open(requestOf("a.0", "x".repeat(2_000))));
     await systemClock.sleep(10);
     const block = engine.exportCache("a.0");
-    await reading;
+    await completed;
     expect(engine.memoryUsedTokens).toBe(block.tokens);
     expect(engine.holdings().map(holding => holding.id)).toEqual([block.blockId]);
     engine.release(block.blockId);
@@ -125,7 +125,7 @@
     expect(sequences.length).toBeLessThan(40);
 });
 
-test("engine over HTTP comes back at its port", async () => {
+test("revived engine listens on its former port", async () => {
     const engine = await startEngine(
         "engine",
         "127.0.0.1:0",
@@ -133,14 +133,14 @@
         systemClock,
         seededRandom(1),
     );
-    const control = await serveFaults(engine, "127.0.0.1:0");
+    const control = await serveControlPort(engine, "127.0.0.1:0");
     const { address } = engine.listener;
     await requestJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "die" });
     await expect(requestJson({ address, method: "GET", path: "/report" })).rejects.toThrow();
     await requestJson({ address: control.address, method: "POST", path: "/faults" }, { fault: "revive" });
-    let answer = 0;
-    while (answer !== 200) {
-        answer = await requestJson({ address, method: "GET", path: "/report" }).then(found => found.status, () => 0);
+    let status = 0;
+    while (status !== 200) {
+        status = await requestJson({ address, method: "GET", path: "/report" }).then(found => found.status, () => 0);
     }
     const unknown = await requestJson({ address: control.address, method: "POST", path: "/faults" }, {
         fault: "melt",
@@ -150,7 +150,7 @@
     await engine.close();
 });
 
-test("platform writes on condition", () => {
+test("platform writes only if the version is the expected one", () => {
     const platform = new PlatformModel(systemClock);
     expect(platform.write(ObjectKind.Profile, "a", absentVersion, 1)).toEqual({ type: "Written", version: 1 });
     expect(platform.write(ObjectKind.Profile, "a", absentVersion, 2).type).toBe("Conflict");
@@ -158,9 +158,9 @@
     expect(platform.read(ObjectKind.Profile, "a")).toBeUndefined();
 });
 
-test("platform loses answers after the write", async () => {
+test("lost response leaves the write in effect", async () => {
     const platform = await startPlatform("127.0.0.1:0", systemClock, []);
-    platform.model.faults.lostAnswers = 1;
+    platform.model.faults.lostResponseShare = 1;
     const { address } = platform.listener;
     const path = "/objects/profile/a?version=0";
     await expect(requestJson({ address, method: "PUT", path }, { value: {} })).rejects.toThrow();
@@ -172,15 +172,15 @@
     const platform = await startPlatform("127.0.0.1:0", systemClock, []);
     platform.model.faults.callsPerSecond = 1;
     const { address } = platform.listener;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
         [1, 2, 3].map(() => requestJson({ address, method: "GET", path: "/instances" })),
     );
-    expect(answers.map(answer => answer.status).sort()).toEqual([200, 429, 429]);
+    expect(responses.map(response => response.status).sort()).toEqual([200, 429, 429]);
     expect(platform.model.counts.refused).toBe(2);
     await platform.listener.close();
 });
 
-test("platform watch brings removals", async () => {
+test("platform watch reports removals", async () => {
     const platform = new PlatformModel(systemClock);
     platform.write(ObjectKind.Profile, "a", absentVersion, 1);
     const watch = platform.watch([ObjectKind.Profile], 1, 5_000, new AbortController().signal);
--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -11,7 +11,7 @@
     ResponseChunk,
     systemClock,
 } from "../../src/internal.js";
-import { crashMark, expectedAnswer, isCrashing } from "../../src/standins/answer.js";
+import { crashMarker, expectedResponse, hasCrashMarker } from "../../src/standins/expectedResponse.js";
 import { FakeEntry, World } from "./world.js";
 
 /** How a caller's request ended. */
@@ -75,7 +75,7 @@
     /** Starts a generation; its end is recorded. */
     generate(entry: FakeEntry, plan: GenerationPlan): CallerRequest {
         const answerTokens = plan.answerTokens ?? 20;
-        const head = `${plan.poison ? crashMark : ""}[[tokens=${answerTokens}]] number ${this.sent}`;
+        const head = `${plan.poison ? crashMarker : ""}[[tokens=${answerTokens}]] number ${this.sent}`;
         return this.generatePrompt(entry, head.padEnd(plan.tokens * charactersPerToken, " x"), plan);
     }
 
@@ -86,8 +86,8 @@
         const { node } = entry;
         const service = node.configuration.service("standin")!;
         const profile = node.configuration.profileOf(service);
-        const request = this.begin(entry, timeout, undefined, expectedAnswer(prompt, answerTokens));
-        if (isCrashing(prompt)) {
+        const request = this.begin(entry, timeout, undefined, expectedResponse(prompt, answerTokens));
+        if (hasCrashMarker(prompt)) {
             this.poisoned.set(prompt, [...this.poisoned.get(prompt) ?? [], request.requestId]);
         }
         const promptTokens = Math.ceil(prompt.length / charactersPerToken);
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -229,7 +229,7 @@
     private change(work: () => WriteOutcome): Promise<WriteOutcome> {
         return this.call(() => {
             const outcome = work();
-            if (this.world.chance(this.world.platform.faults.lostAnswers)) {
+            if (this.world.chance(this.world.platform.faults.lostResponseShare)) {
                 throw new PlatformError("the answer was lost", true);
             }
             return outcome;
@@ -574,7 +574,12 @@
 
     /** Heals everything that can be healed. */
     heal(): void {
-        Object.assign(this.platform.faults, { down: false, slowMilliseconds: 0, lostAnswers: 0, silentWatches: false });
+        Object.assign(this.platform.faults, {
+            down: false,
+            slowMilliseconds: 0,
+            lostResponseShare: 0,
+            silentWatches: false,
+        });
         this.parted.clear();
         for (const engine of this.engines) {
             engine.gate.thaw();
--- a/__tests__/wholePath.test.ts
+++ b/__tests__/wholePath.test.ts
@@ -1,7 +1,7 @@
 /** The whole path over real sockets, with the unchanged `openai` client as caller. */
 import OpenAI from "openai";
 import { afterAll, beforeAll, expect, test } from "vitest";
-import { expectedAnswer } from "../src/standins/answer.js";
+import { expectedResponse } from "../src/standins/expectedResponse.js";
 import { Fleet, startFleet } from "./support/fleet.js";
 
 let fleet: Fleet;
@@ -29,19 +29,19 @@
         text += chunk.choices[0]?.delta.content ?? "";
         finish = chunk.choices[0]?.finish_reason ?? finish;
     }
-    expect(text).toBe(expectedAnswer(chatPrompt, 4_096));
+    expect(text).toBe(expectedResponse(chatPrompt, 4_096));
     expect(finish).toBe("stop");
 });
 
 test("whole chat", async () => {
     const answer = await client.chat.completions.create({ model: "standin", messages });
-    expect(answer.choices[0]!.message.content).toBe(expectedAnswer(chatPrompt, 4_096));
+    expect(answer.choices[0]!.message.content).toBe(expectedResponse(chatPrompt, 4_096));
     expect(answer.usage!.completion_tokens).toBeGreaterThan(0);
 });
 
 test("whole completion cut by length", async () => {
     const answer = await client.completions.create({ model: "standin", prompt: "A form [[tokens=30]]", max_tokens: 7 });
-    expect(answer.choices[0]!.text).toBe(expectedAnswer("A form [[tokens=30]]", 7));
+    expect(answer.choices[0]!.text).toBe(expectedResponse("A form [[tokens=30]]", 7));
     expect(answer.choices[0]!.finish_reason).toBe("length");
 });
 
--- a/scripts/loadLibrary.js
+++ b/scripts/loadLibrary.js
@@ -1,7 +1,7 @@
 // The load tool's functions, from the build.
 import { systemClock } from "../dist/index.js";
 import { EngineClient } from "../dist/internal.js";
-import { expectedAnswer } from "../dist/standins/answer.js";
+import { expectedResponse } from "../dist/standins/expectedResponse.js";
 export { seededRandom, systemClock } from "../dist/index.js";
 export { runExperiment } from "../dist/load/experiment.js";
 export { summarize } from "../dist/load/report.js";
@@ -20,7 +20,7 @@
 
 /** Throws when an answer isn't the one that the stand-in engine makes of the prompt. */
 export const expectWhole = (prompt, text, answerTokens) => {
-    if (text !== expectedAnswer(prompt, answerTokens)) {
+    if (text !== expectedResponse(prompt, answerTokens)) {
         throw new Error("an answer was not whole");
     }
 };
--- a/src/commands/standin/index.ts
+++ b/src/commands/standin/index.ts
@@ -17,7 +17,7 @@
 } from "../../internal.js";
 import { defaultEngineShape } from "../../standins/engineModel.js";
 import { startEngine } from "../../standins/engineServer.js";
-import { FaultTarget, serveFaults } from "../../standins/faultPort.js";
+import { FaultTarget, serveControlPort } from "../../standins/faultPort.js";
 import { startPlatform } from "../../standins/platformServer.js";
 import { defaultServiceShape } from "../../standins/serviceModel.js";
 import { startService } from "../../standins/serviceServer.js";
@@ -94,7 +94,7 @@
 };
 
 const serveUntilStopped = async (target: FaultTarget, control: string): Promise<void> => {
-    await serveFaults(target, control);
+    await serveControlPort(target, control);
     await stopRequested();
 };
 
--- a/src/load/caller.ts
+++ b/src/load/caller.ts
@@ -1,7 +1,7 @@
 /** One caller of the load tool: sends a request and judges its answer. */
 import { createParser } from "eventsource-parser";
 import { Clock, ExchangeError, IncomingResponse, Milliseconds, readBody, sendRequest } from "../internal.js";
-import { expectedAnswer } from "../standins/answer.js";
+import { expectedResponse } from "../standins/expectedResponse.js";
 import { Arrival } from "./arrivals.js";
 
 /** How a request ended, as its caller saw it. */
@@ -124,7 +124,7 @@
             ...base,
             firstTokenMilliseconds: state.firstTokenAt === undefined ? undefined : state.firstTokenAt - startedAt,
             totalMilliseconds: clock.now() - startedAt,
-            outcome: judge(state, expectedAnswer(arrival.prompt, options.answerTokens)),
+            outcome: judge(state, expectedResponse(arrival.prompt, options.answerTokens)),
             status: 200,
             requestId: answer.headers["x-request-id"] as string | undefined,
             execution: problem.execution,
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -127,8 +127,8 @@
                 clock.after(seconds, () => setAll(hit, endpoint => endpoint.silent = false));
                 return;
             case FaultKind.Slow:
-                setAll(hit, ({ engine }) => engine.slowness = fault.strength);
-                clock.after(seconds, () => setAll(hit, ({ engine }) => engine.slowness = 1));
+                setAll(hit, ({ engine }) => engine.passTimeFactor = fault.strength);
+                clock.after(seconds, () => setAll(hit, ({ engine }) => engine.passTimeFactor = 1));
                 return;
             case FaultKind.Limited:
                 setAll(hit, endpoint => endpoint.limitPerSecond = fault.strength);
--- a/src/replay/simulatedFleet.ts
+++ b/src/replay/simulatedFleet.ts
@@ -8,7 +8,7 @@
     type StreamEvent,
 } from "../ports/forwardingPorts.js";
 import { type MemoryPort, type MemoryReservation, ReservationResult } from "../ports/memoryPort.js";
-import { EngineFullError, HelperLostError, PassEngine } from "../standins/passEngineModel.js";
+import { EngineFullError, HelperLostError, PassEngine } from "../standins/passEngine.js";
 import { type EndpointRecord, EndpointState, type EngineProfile } from "../types/routing.js";
 import type { Clock, Milliseconds } from "../utils/clock.js";
 import { describeError } from "../utils/errors.js";
@@ -118,8 +118,8 @@
         const work = {
             id: request.id,
             promptTokens: request.size?.promptTokens ?? 0,
-            events: this.eventsOf.get(request.id) ?? 1,
-            from: Number(lastEventId ?? 0),
+            eventCount: this.eventsOf.get(request.id) ?? 1,
+            deliveredEventCount: Number(lastEventId ?? 0),
             priority,
             helpers: helpers.map(({ address, reservationId }) => ({
                 engine: this.at(address).engine,
--- a/src/standins/engineModel.ts
+++ b/src/standins/engineModel.ts
@@ -1,4 +1,7 @@
-/** The stand-in engine: continuous batching in virtual work units over limited memory. */
+/**
+ * In-memory model of an engine that batches continuously: each step decodes one token of every running stream and spends
+ * the rest of its token budget on prefill. Models limited memory, cold start, reservations, fencing and delayed reports.
+ */
 import {
     ChangeSignal,
     Clock,
@@ -16,30 +19,33 @@
     randomIdentifier,
     sharedAbortController,
 } from "../internal.js";
-import { answerLength, answerSeed, answerToken, isCrashing } from "./answer.js";
+import { hasCrashMarker, responseLength, responseSeed, responseToken } from "./expectedResponse.js";
 
 /** Size and speed of an engine. */
 export interface EngineShape {
     memoryTokens: number;
     stepMilliseconds: Milliseconds;
-    /** Prompt and answer tokens that one step works on. */
+    /** Prompt and response tokens that one step processes. */
     tokensPerStep: number;
-    /** Streams that a cold engine bears. */
+    /** Concurrent streams that a cold engine can run; one more crashes the engine. */
     coldConcurrency: number;
-    /** Streams that a cold engine must finish to be warm. */
+    /** Streams that a cold engine must finish to become warm. */
     warmAfter: number;
-    /** Share of its speed that a cold engine has. */
+    /** Fraction of the token budget of a step that a cold engine has. */
     coldSpeed: number;
-    /** How far its report lags. */
+    /** Delay with which the report shows the state of the engine. */
     reportLagMilliseconds: Milliseconds;
-    /** Time after an unannounced fall into cold start in which arrivals aren't counted against the callers. */
+    /**
+     * Time after an unannounced fall into cold start in which excess streams are refused instead of crashing the engine,
+     * because the callers can't know of the cold start yet.
+     */
     coldNoticeMilliseconds: Milliseconds;
     restartMilliseconds: Milliseconds;
     startWarm: boolean;
     enforceFences: boolean;
 }
 
-/** An engine of the usual size. */
+/** Default parameters of an engine. */
 export const defaultEngineShape: EngineShape = {
     memoryTokens: 400_000,
     stepMilliseconds: 10,
@@ -54,67 +60,67 @@
     enforceFences: true,
 };
 
-/** An order to the engine. */
+/** An order to the engine, with a fence number that rejects outdated orders. */
 export interface EngineOrder {
     fence: number;
-    /** What should be loaded or which role taken: absolute, so that a repeat is harmless. */
+    /** The model to load or the role to take. The value is absolute, so applying an order twice is harmless. */
     wanted: Record<string, string>;
 }
 
-/** One late piece of news about cached prefixes. */
+/** A delayed notification that a prefix was cached or evicted. */
 export interface CacheEvent {
     sequence: number;
     prefix: number;
     stored: boolean;
 }
 
-interface Stream {
+interface EngineStream {
     request: EngineRequest;
     seed: number;
-    length: { tokens: number; finishReason: FinishReason; };
+    responseLength: { tokens: number; finishReason: FinishReason; };
     memoryTokens: number;
-    prefilled: number;
-    /** Answer tokens generated, counted from the answer's start. */
-    generated: number;
-    /** Answer tokens that some reader has taken. */
-    read: number;
-    done: boolean;
-    changed: ChangeSignal;
+    prefilledTokens: number;
+    /** Response tokens generated, counted from the start of the response. */
+    generatedTokens: number;
+    /** Response tokens that at least one reader has received. */
+    deliveredTokens: number;
+    hasEnded: boolean;
+    changeSignal: ChangeSignal;
 }
 
-const unreadTokensAtMost = 64;
-const endedStreamsKept = 512;
-const decodeStreamsAtMost = 256;
+const maximumUndeliveredTokens = 64;
+const maximumEndedStreams = 512;
+const maximumDecodingStreams = 256;
 const lostCacheEventShare = 0.2;
-const cacheEventsKept = 1_000;
+const maximumCacheEvents = 1_000;
 const cachePrefixCharacters = 4_000;
-const reportsKept = 200;
+const maximumReports = 200;
 
-/** An engine in memory. */
+/** Model of one engine. */
 export class EngineModel {
     incarnation: string;
-    /** Arrivals that a cold engine could not bear. */
+    /** Streams that exceeded `coldConcurrency` and crashed the cold engine. */
     coldOverloads = 0;
-    crashes = 0;
-    /** Streams started, by request id. */
+    crashCount = 0;
+    /** Number of streams started, by request identifier. */
     readonly runs = new Map<string, number>();
     wanted: Record<string, string> = {};
     private up = true;
-    private leaving = false;
+    private isLeaving = false;
     private temperature: EndpointTemperature;
     private coldSince: Milliseconds = -Infinity;
-    private finishedWhileCold = 0;
-    private streams = new Map<string, Stream>();
-    private ended = new Map<string, Stream>();
+    private streamsFinishedWhileCold = 0;
+    private streams = new Map<string, EngineStream>();
+    private endedStreams = new Map<string, EngineStream>();
     private reservations = new Map<string, EngineHolding>();
-    private exported = new Map<string, EngineHolding>();
+    private exportedBlocks = new Map<string, EngineHolding>();
     private cacheEvents: CacheEvent[] = [];
     private cacheSequence = 0;
     private reports: { at: Milliseconds; report: EndpointReport; }[] = [];
-    private fence = 0;
-    private stepping = false;
-    /** Aborts when the process dies: every connection of it is cut. */
-    private life = sharedAbortController();
+    private highestFence = 0;
+    private isStepping = false;
+    /** Aborts when the modelled process dies, which cuts all its connections. */
+    private lifetimeController = sharedAbortController();
 
     constructor(
         readonly shape: EngineShape,
@@ -123,16 +129,16 @@
     ) {
         this.incarnation = randomIdentifier(random);
         this.temperature = shape.startWarm ? EndpointTemperature.Warm : EndpointTemperature.Cold;
-        this.noteReport();
+        this.recordReport();
     }
 
     get isUp(): boolean {
         return this.up;
     }
 
-    /** Aborts at the engine's next death. */
+    /** Aborts when the modelled process dies the next time. */
     get lifetime(): AbortSignal {
-        return this.life.signal;
+        return this.lifetimeController.signal;
     }
 
     get isCold(): boolean {
@@ -145,101 +151,101 @@
         for (const stream of this.streams.values()) {
             used += stream.memoryTokens;
         }
-        for (const held of [...this.reservations.values(), ...this.exported.values()]) {
-            used += held.tokens;
+        for (const holding of [...this.reservations.values(), ...this.exportedBlocks.values()]) {
+            used += holding.tokens;
         }
         return used;
     }
 
-    get running(): number {
+    get runningStreamCount(): number {
         return this.streams.size;
     }
 
-    /** The report as it was a while ago. */
+    /** Returns the report as of `reportLagMilliseconds` ago. */
     report(): EndpointReport {
         this.checkUp();
-        this.noteReport();
+        this.recordReport();
         const at = this.clock.now() - this.shape.reportLagMilliseconds;
-        let shown = this.reports[0]!;
+        let visible = this.reports[0]!;
         for (const candidate of this.reports) {
             if (candidate.at <= at) {
-                shown = candidate;
+                visible = candidate;
             }
         }
-        this.reports = this.reports.filter(candidate => candidate.at >= shown.at);
-        return { ...shown.report, incarnation: this.incarnation };
+        this.reports = this.reports.filter(candidate => candidate.at >= visible.at);
+        return { ...visible.report, incarnation: this.incarnation };
     }
 
-    /** Accepts a stream, or joins it where it exists. Throws {@link EngineRefusedError}. */
+    /** Starts a stream, or joins the stream if it already exists. Throws {@link EngineRefusedError}. */
     open(request: EngineRequest): AsyncGenerator<EngineFrame, void> {
         this.checkUp();
-        const known = this.streams.get(request.streamId) ?? this.ended.get(request.streamId);
-        if (known) {
-            return this.frames(known, request.startOffset);
+        const existing = this.streams.get(request.streamId) ?? this.endedStreams.get(request.streamId);
+        if (existing) {
+            return this.readFrames(existing, request.startOffset);
         }
         const memoryTokens = this.checkAdmission(request);
-        this.checkCold();
-        const seed = answerSeed(request.prompt);
-        const stream: Stream = {
+        this.checkColdConcurrency();
+        const seed = responseSeed(request.prompt);
+        const stream: EngineStream = {
             request,
             seed,
-            length: answerLength(request.prompt, seed, request.maximumTokens),
+            responseLength: responseLength(request.prompt, seed, request.maximumTokens),
             memoryTokens,
-            prefilled: 0,
-            generated: request.startOffset,
-            read: request.startOffset,
-            done: false,
-            changed: new ChangeSignal(),
+            prefilledTokens: 0,
+            generatedTokens: request.startOffset,
+            deliveredTokens: request.startOffset,
+            hasEnded: false,
+            changeSignal: new ChangeSignal(),
         };
         this.streams.set(request.streamId, stream);
         const requestId = request.streamId.split(".")[0]!;
         this.runs.set(requestId, (this.runs.get(requestId) ?? 0) + 1);
-        this.noteReport();
-        void this.step();
-        return this.frames(stream, request.startOffset);
+        this.recordReport();
+        void this.runSteps();
+        return this.readFrames(stream, request.startOffset);
     }
 
-    /** Joins a stream at an offset. Throws {@link EngineRefusedError} for one it doesn't know. */
+    /** Joins a stream at an offset. Throws {@link EngineRefusedError} if no such stream exists. */
     resume(streamId: string, offset: number): AsyncGenerator<EngineFrame, void> {
         this.checkUp();
-        const stream = this.streams.get(streamId) ?? this.ended.get(streamId);
+        const stream = this.streams.get(streamId) ?? this.endedStreams.get(streamId);
         if (!stream) {
             throw new EngineRefusedError(EngineRefusal.UnknownStream, "engine");
         }
-        return this.frames(stream, offset);
+        return this.readFrames(stream, offset);
     }
 
-    /** Ends a stream, a reservation or an exported block. */
+    /** Frees a stream, a reservation or an exported block. */
     release(id: string): void {
         this.checkUp();
         const stream = this.streams.get(id);
         if (stream) {
-            stream.done = true;
+            stream.hasEnded = true;
             this.streams.delete(id);
-            stream.changed.notify();
+            stream.changeSignal.notify();
         }
         this.reservations.delete(id);
-        this.exported.delete(id);
-        this.noteReport();
+        this.exportedBlocks.delete(id);
+        this.recordReport();
     }
 
-    /** Sets memory aside. Throws {@link EngineRefusedError}. */
+    /** Reserves memory. Throws {@link EngineRefusedError}. */
     reserve(holding: EngineHolding): void {
         this.checkUp();
         if (this.reservations.has(holding.id)) {
             return;
         }
-        if (this.leaving) {
+        if (this.isLeaving) {
             throw new EngineRefusedError(EngineRefusal.Leaving, "engine");
         }
         if (this.memoryUsedTokens + holding.tokens > this.shape.memoryTokens) {
             throw new EngineRefusedError(EngineRefusal.Memory, "engine");
         }
         this.reservations.set(holding.id, holding);
-        this.noteReport();
+        this.recordReport();
     }
 
-    /** Everything that holds memory. */
+    /** Returns all streams, reservations and exported blocks that hold memory. */
     holdings(): EngineHolding[] {
         this.checkUp();
         const streams = [...this.streams.values()].map(({ request, memoryTokens }): EngineHolding => ({
@@ -249,10 +255,10 @@
             ownerIncarnation: request.ownerIncarnation,
             tokens: memoryTokens,
         }));
-        return [...streams, ...this.reservations.values(), ...this.exported.values()];
+        return [...streams, ...this.reservations.values(), ...this.exportedBlocks.values()];
     }
 
-    /** Copies a stream's cache out; the block holds memory until it is released. */
+    /** Exports the cache of a stream. The block holds memory until it is released. */
     exportCache(streamId: string): { blockId: string; tokens: number; seed: number; } {
         const stream = this.streams.get(streamId);
         if (!stream) {
@@ -260,67 +266,67 @@
         }
         const blockId = `kv-${streamId}`;
         const { owner, ownerIncarnation } = stream.request;
-        const tokens = stream.prefilled;
-        this.exported.set(blockId, { id: blockId, kind: "reservation", owner, ownerIncarnation, tokens });
+        const tokens = stream.prefilledTokens;
+        this.exportedBlocks.set(blockId, { id: blockId, kind: "reservation", owner, ownerIncarnation, tokens });
         return { blockId, tokens, seed: stream.seed };
     }
 
-    /** Takes a block in: a later stream over the same prompt skips that much prefill. */
+    /** Imports a cached block. The model only records the cache event for the prefix. */
     importCache(prefix: number): void {
-        this.noteCached(prefix, true);
+        this.recordCacheEvent(prefix, true);
     }
 
-    /** News of cached prefixes, late and with gaps. */
+    /** Returns the cache events from `sequence` on. Some sequence numbers are missing, as if their events were lost. */
     cacheEventsFrom(sequence: number): CacheEvent[] {
         return this.cacheEvents.filter(event => event.sequence >= sequence);
     }
 
-    /** Takes an order. Where fences are enforced, one with an old number is refused. */
-    order(order: EngineOrder): boolean {
-        if (this.shape.enforceFences && order.fence < this.fence) {
+    /** Applies an order. While fences are enforced, an order with an outdated fence number is rejected and returns false. */
+    applyOrder(order: EngineOrder): boolean {
+        if (this.shape.enforceFences && order.fence < this.highestFence) {
             return false;
         }
-        this.fence = Math.max(this.fence, order.fence);
+        this.highestFence = Math.max(this.highestFence, order.fence);
         this.wanted = { ...order.wanted };
         return true;
     }
 
-    /** Falls back into cold start without a word. */
-    goCold(): void {
+    /** Falls back into cold start without announcing the change. */
+    fallIntoColdStart(): void {
         this.temperature = EndpointTemperature.Cold;
         this.coldSince = this.clock.now();
-        this.finishedWhileCold = 0;
-        this.noteReport();
+        this.streamsFinishedWhileCold = 0;
+        this.recordReport();
     }
 
-    /** Refuses new work from now on. */
-    leave(): void {
-        this.leaving = true;
+    /** Refuses new streams and reservations from now on. */
+    startLeaving(): void {
+        this.isLeaving = true;
     }
 
-    /** Dies and comes back cold after the restart time. */
+    /** Dies and restarts cold after `restartMilliseconds`. */
     async crash(): Promise<void> {
-        this.crashes++;
+        this.crashCount++;
         this.die();
         await this.clock.sleep(this.shape.restartMilliseconds);
         this.revive();
     }
 
-    /** Dies until {@link revive}. */
+    /** Stops the modelled process until {@link revive}. */
     die(): void {
         this.up = false;
         for (const stream of this.streams.values()) {
-            stream.changed.notify();
+            stream.changeSignal.notify();
         }
         this.streams = new Map();
-        this.ended = new Map();
+        this.endedStreams = new Map();
         this.reservations = new Map();
-        this.exported = new Map();
-        this.life.abort();
-        this.life = sharedAbortController();
+        this.exportedBlocks = new Map();
+        this.lifetimeController.abort();
+        this.lifetimeController = sharedAbortController();
     }
 
-    /** Starts again, cold and empty. */
+    /** Starts the modelled process again, cold and without streams or reservations. */
     revive(): void {
         if (this.up) {
             return;
@@ -329,9 +335,9 @@
         this.incarnation = randomIdentifier(this.random);
         this.temperature = EndpointTemperature.Cold;
         this.coldSince = -Infinity;
-        this.finishedWhileCold = 0;
+        this.streamsFinishedWhileCold = 0;
         this.reports = [];
-        this.noteReport();
+        this.recordReport();
     }
 
     private checkUp(): void {
@@ -341,7 +347,7 @@
     }
 
     private checkAdmission(request: EngineRequest): number {
-        if (this.leaving) {
+        if (this.isLeaving) {
             throw new EngineRefusedError(EngineRefusal.Leaving, "engine");
         }
         if (request.gang) {
@@ -357,8 +363,8 @@
         return memoryTokens;
     }
 
-    /** A cold engine falls over when it gets more than it bears. */
-    private checkCold(): void {
+    /** Crashes a cold engine that gets more than `coldConcurrency` streams. */
+    private checkColdConcurrency(): void {
         if (!this.isCold || this.streams.size < this.shape.coldConcurrency) {
             return;
         }
@@ -367,121 +373,126 @@
         }
         this.coldOverloads++;
         void this.crash();
-        throw new EngineLostError("the engine fell over", true);
+        throw new EngineLostError("the cold engine was overloaded and crashed", true);
     }
 
-    private async step(): Promise<void> {
-        if (this.stepping) {
+    private async runSteps(): Promise<void> {
+        if (this.isStepping) {
             return;
         }
-        this.stepping = true;
-        const { signal } = this.life;
+        this.isStepping = true;
+        const { signal } = this.lifetimeController;
         while (this.streams.size > 0 && !signal.aborted) {
             await this.clock.sleep(this.shape.stepMilliseconds, signal);
             if (!signal.aborted) {
-                this.work();
+                this.runStep();
             }
         }
-        this.stepping = false;
+        this.isStepping = false;
         if (this.streams.size > 0) {
-            void this.step();
+            void this.runSteps();
         }
     }
 
-    private work(): void {
+    private runStep(): void {
         let budget = this.shape.tokensPerStep * (this.isCold ? this.shape.coldSpeed : 1);
-        let decoding = 0;
+        let decodingCount = 0;
         for (const stream of this.streams.values()) {
-            const ready = stream.prefilled >= stream.request.promptTokens;
-            if (ready && decoding < decodeStreamsAtMost && stream.generated - stream.read < unreadTokensAtMost) {
-                decoding++;
+            const isPrefilled = stream.prefilledTokens >= stream.request.promptTokens;
+            if (
+                isPrefilled && decodingCount < maximumDecodingStreams
+                && stream.generatedTokens - stream.deliveredTokens < maximumUndeliveredTokens
+            ) {
+                decodingCount++;
                 budget--;
                 this.decode(stream);
             }
         }
-        const waiting = [...this.streams.values()].filter(stream => stream.prefilled < stream.request.promptTokens);
-        waiting.sort((first, second) => first.request.priority - second.request.priority);
-        for (const stream of waiting) {
+        const prefilling = [...this.streams.values()].filter(stream =>
+            stream.prefilledTokens < stream.request.promptTokens
+        );
+        prefilling.sort((first, second) => first.request.priority - second.request.priority);
+        for (const stream of prefilling) {
             if (budget <= 0) {
                 break;
             }
             budget -= this.prefill(stream, budget);
         }
-        this.noteReport();
+        this.recordReport();
     }
 
-    /** Works on a prompt and returns the budget it took. A gang's engines share the work. */
-    private prefill(stream: Stream, budget: number): number {
+    /** Prefills a prompt and returns the budget spent. The engines of a gang share the prefill. */
+    private prefill(stream: EngineStream, budget: number): number {
         const speed = stream.request.gang?.size ?? 1;
-        const tokens = Math.min(stream.request.promptTokens - stream.prefilled, Math.floor(budget * speed));
-        stream.prefilled += tokens;
-        if (stream.prefilled >= stream.request.promptTokens) {
-            this.noteCached(answerSeed(stream.request.prompt.slice(0, cachePrefixCharacters)), true);
-            if (isCrashing(stream.request.prompt)) {
+        const tokens = Math.min(stream.request.promptTokens - stream.prefilledTokens, Math.floor(budget * speed));
+        stream.prefilledTokens += tokens;
+        if (stream.prefilledTokens >= stream.request.promptTokens) {
+            this.recordCacheEvent(responseSeed(stream.request.prompt.slice(0, cachePrefixCharacters)), true);
+            if (hasCrashMarker(stream.request.prompt)) {
                 void this.crash();
             }
         }
         return tokens / speed;
     }
 
-    private decode(stream: Stream): void {
-        stream.generated++;
-        if (stream.generated >= stream.length.tokens) {
+    private decode(stream: EngineStream): void {
+        stream.generatedTokens++;
+        if (stream.generatedTokens >= stream.responseLength.tokens) {
             this.finish(stream);
         }
-        stream.changed.notify();
+        stream.changeSignal.notify();
     }
 
-    private finish(stream: Stream): void {
-        stream.done = true;
+    private finish(stream: EngineStream): void {
+        stream.hasEnded = true;
         this.streams.delete(stream.request.streamId);
-        this.ended.set(stream.request.streamId, stream);
-        if (this.ended.size > endedStreamsKept) {
-            this.ended.delete(this.ended.keys().next().value!);
+        this.endedStreams.set(stream.request.streamId, stream);
+        if (this.endedStreams.size > maximumEndedStreams) {
+            this.endedStreams.delete(this.endedStreams.keys().next().value!);
         }
         if (!this.isCold) {
             return;
         }
-        this.finishedWhileCold++;
-        if (this.finishedWhileCold >= this.shape.warmAfter) {
+        this.streamsFinishedWhileCold++;
+        if (this.streamsFinishedWhileCold >= this.shape.warmAfter) {
             this.temperature = EndpointTemperature.Warm;
         }
     }
 
-    private async *frames(stream: Stream, from: number): AsyncGenerator<EngineFrame, void> {
-        const { signal } = this.life;
+    private async *readFrames(stream: EngineStream, from: number): AsyncGenerator<EngineFrame, void> {
+        const { signal } = this.lifetimeController;
         const { streamId, attempt } = stream.request;
         let offset = from;
         while (true) {
             if (signal.aborted) {
                 throw new EngineLostError("the engine died", true);
             }
-            const end = Math.min(stream.generated, stream.length.tokens);
+            const end = Math.min(stream.generatedTokens, stream.responseLength.tokens);
             if (offset < end) {
                 let text = "";
                 for (let index = offset; index < end; index++) {
-                    text += answerToken(stream.seed, index);
+                    text += responseToken(stream.seed, index);
                 }
                 yield { type: "Tokens", streamId, attempt, offset, count: end - offset, text };
                 offset = end;
-                stream.read = Math.max(stream.read, offset);
+                stream.deliveredTokens = Math.max(stream.deliveredTokens, offset);
                 continue;
             }
-            if (stream.done) {
-                // A stream that was released ends without its end marker.
-                if (offset >= stream.length.tokens) {
-                    const { tokens, finishReason } = stream.length;
+            if (stream.hasEnded) {
+                // A released stream ends without an End frame.
+                if (offset >= stream.responseLength.tokens) {
+                    const { tokens, finishReason } = stream.responseLength;
                     yield { type: "End", streamId, attempt, tokens, finishReason };
                 }
                 return;
             }
-            await stream.changed.next(signal);
+            await stream.changeSignal.next(signal);
         }
     }
 
-    private noteReport(): void {
+    private recordReport(): void {
         this.reports.push({ at: this.clock.now(), report: this.currentReport() });
-        if (this.reports.length > reportsKept) {
+        if (this.reports.length > maximumReports) {
             this.reports.shift();
         }
     }
@@ -489,7 +500,7 @@
     private currentReport(): EndpointReport {
         let waitingPromptTokens = 0;
         for (const stream of this.streams.values()) {
-            waitingPromptTokens += stream.request.promptTokens - stream.prefilled;
+            waitingPromptTokens += stream.request.promptTokens - stream.prefilledTokens;
         }
         const { memoryTokens, tokensPerStep, stepMilliseconds, coldSpeed } = this.shape;
         return {
@@ -504,12 +515,12 @@
         };
     }
 
-    private noteCached(prefix: number, stored: boolean): void {
+    private recordCacheEvent(prefix: number, stored: boolean): void {
         const sequence = this.cacheSequence++;
         if (this.random.next() >= lostCacheEventShare) {
             this.cacheEvents.push({ sequence, prefix, stored });
         }
-        if (this.cacheEvents.length > cacheEventsKept) {
+        if (this.cacheEvents.length > maximumCacheEvents) {
             this.cacheEvents.shift();
         }
     }
--- a/src/standins/engineServer.ts
+++ b/src/standins/engineServer.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine over HTTP. */
+/** HTTP server of the stand-in engine, with the faults that its control port can set. */
 import { IncomingMessage, ServerResponse } from "node:http";
 import {
     aborted,
@@ -18,27 +18,27 @@
 } from "../internal.js";
 import { EngineModel, EngineOrder, EngineShape } from "./engineModel.js";
 import { FaultOrder, FaultTarget } from "./faultPort.js";
-import { RevivableListener } from "./revivable.js";
+import { RevivableListener } from "./revivableListener.js";
 
 const bodyLimitBytes = 64 * 1024 * 1024;
 const streamPath = /^\/streams\/([^/]+)$/;
 const holdingPath = /^\/holdings\/([^/]+)$/;
 const exportPath = /^\/exports\/([^/]+)$/;
 
-/** An engine that listens. */
+/** A running stand-in engine. */
 export interface EngineStandIn extends FaultTarget {
     model: EngineModel;
     listener: RevivableListener;
     close(): Promise<void>;
 }
 
-/** Serves one engine. */
+/** Handles the HTTP requests of one engine. */
 class EngineServer {
     readonly timeline: Timeline;
-    /** Answers whose connection has lost its way: nothing arrives any more, and nothing says so. */
-    private readonly silenced = new WeakSet<ServerResponse>();
-    private readonly streaming = new Set<ServerResponse>();
-    private thawed: Promise<void> = Promise.resolve();
+    /** Responses that stay open but carry no more data, as on a connection whose packets are lost. */
+    private readonly silencedResponses = new WeakSet<ServerResponse>();
+    private readonly streamingResponses = new Set<ServerResponse>();
+    private freezeEnd: Promise<void> = Promise.resolve();
 
     constructor(readonly model: EngineModel, private readonly clock: Clock, name: string) {
         this.timeline = new Timeline(name, clock);
@@ -47,12 +47,12 @@
 
     async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const body = (await readBody(request, bodyLimitBytes)).toString("utf8");
-        await this.thawed;
+        await this.freezeEnd;
         try {
             await this.route(request, response, body);
         }
         catch (error) {
-            this.answerError(response, error);
+            this.sendError(response, error);
         }
     }
 
@@ -68,18 +68,18 @@
                 void this.model.crash();
                 return;
             case "cold":
-                this.model.goCold();
+                this.model.fallIntoColdStart();
                 return;
             case "freeze":
-                this.thawed = this.clock.sleep(value);
+                this.freezeEnd = this.clock.sleep(value);
                 return;
             case "silent":
-                for (const response of this.streaming) {
-                    this.silenced.add(response);
+                for (const response of this.streamingResponses) {
+                    this.silencedResponses.add(response);
                 }
                 return;
             case "leave":
-                this.model.leave();
+                this.model.startLeaving();
                 return;
             case "fences":
                 this.model.shape.enforceFences = value !== 0;
@@ -125,10 +125,10 @@
             sendJson(response, 200, { holdings: this.model.holdings() });
             return;
         }
-        this.routeRest(path, query, response, body);
+        this.routeCacheAndOrders(path, query, response, body);
     }
 
-    private routeRest(path: string, query: URLSearchParams, response: ServerResponse, body: string): void {
+    private routeCacheAndOrders(path: string, query: URLSearchParams, response: ServerResponse, body: string): void {
         const exported = exportPath.exec(path);
         if (exported) {
             sendJson(response, 200, this.model.exportCache(decodeURIComponent(exported[1]!)));
@@ -144,7 +144,7 @@
             return;
         }
         if (path === "/orders") {
-            const accepted = this.model.order(JSON.parse(body) as EngineOrder);
+            const accepted = this.model.applyOrder(JSON.parse(body) as EngineOrder);
             sendJson(response, accepted ? 200 : 409, { wanted: this.model.wanted });
             return;
         }
@@ -154,23 +154,23 @@
     private async sendFrames(response: ServerResponse, frames: AsyncGenerator<EngineFrame, void>): Promise<void> {
         response.writeHead(200, { "content-type": "application/x-ndjson" });
         response.flushHeaders();
-        const closed = new AbortController();
-        response.on("close", () => closed.abort());
-        const gone = aborted(closed.signal);
-        this.streaming.add(response);
+        const connection = new AbortController();
+        response.on("close", () => connection.abort());
+        const disconnected = aborted(connection.signal);
+        this.streamingResponses.add(response);
         try {
-            while (!closed.signal.aborted) {
-                const next = await Promise.race([frames.next(), gone]);
-                await this.thawed;
+            while (!connection.signal.aborted) {
+                const next = await Promise.race([frames.next(), disconnected]);
+                await this.freezeEnd;
                 if (!next || next.done) {
                     break;
                 }
-                if (this.silenced.has(response)) {
-                    await gone;
+                if (this.silencedResponses.has(response)) {
+                    await disconnected;
                     break;
                 }
                 if (!response.write(`${JSON.stringify(next.value)}\n`)) {
-                    await Promise.race([new Promise(resolve => response.once("drain", resolve)), gone]);
+                    await Promise.race([new Promise(resolve => response.once("drain", resolve)), disconnected]);
                 }
             }
             response.end();
@@ -179,12 +179,12 @@
             response.destroy();
         }
         finally {
-            this.streaming.delete(response);
+            this.streamingResponses.delete(response);
             void frames.return();
         }
     }
 
-    private answerError(response: ServerResponse, error: unknown): void {
+    private sendError(response: ServerResponse, error: unknown): void {
         if (error instanceof EngineRefusedError) {
             sendJson(response, error.refusal === EngineRefusal.UnknownStream ? 404 : 503, { refusal: error.refusal });
             return;
@@ -197,19 +197,19 @@
     }
 }
 
-/** Takes the listener down and up with the model. */
-const followLife = async (model: EngineModel, listener: RevivableListener, clock: Clock): Promise<void> => {
+/** Closes the listener when the model dies and reopens the listener when the model is up again. */
+const followModelLifetime = async (model: EngineModel, listener: RevivableListener, clock: Clock): Promise<void> => {
     while (true) {
         await aborted(model.lifetime);
-        await listener.down();
+        await listener.takeDown();
         while (!model.isUp) {
             await clock.sleep(20);
         }
-        await listener.up();
+        await listener.bringUp();
     }
 };
 
-/** Serves an engine at `address`. */
+/** Starts an engine that serves at `address`. */
 export const startEngine = async (
     name: string,
     address: string,
@@ -220,7 +220,7 @@
     const model = new EngineModel({ ...shape }, clock, random);
     const server = new EngineServer(model, clock, name);
     const listener = await RevivableListener.open(address, (request, response) => server.handle(request, response));
-    void followLife(model, listener, clock);
+    void followModelLifetime(model, listener, clock);
     return {
         model,
         listener,
@@ -229,10 +229,10 @@
         counts: () => ({
             up: model.isUp,
             cold: model.isUp && model.isCold,
-            running: model.running,
+            running: model.runningStreamCount,
             memoryUsedTokens: model.memoryUsedTokens,
             coldOverloads: model.coldOverloads,
-            crashes: model.crashes,
+            crashes: model.crashCount,
             streams: [...model.runs.values()].reduce((sum, runs) => sum + runs, 0),
         }),
         runs: () => Object.fromEntries(model.runs),
--- a/src/standins/faultPort.ts
+++ b/src/standins/faultPort.ts
@@ -1,28 +1,28 @@
-/** The control port of a stand-in: faults in, counts out. */
+/** Control port of a stand-in. Sets faults and returns counts, runs and timeline events. */
 import { describeError, listen, Listener, readBody, requestTarget, sendJson, Timeline } from "../internal.js";
 
 const bodyLimitBytes = 64 * 1024;
 
-/** A fault as it arrives; each stand-in knows its own. */
+/** A fault to apply. Each stand-in supports its own set of faults. */
 export interface FaultOrder {
     fault: string;
-    /** Meaning depends on the fault: milliseconds, a share, or 0 and 1. */
+    /** Milliseconds, a count, a rate, a share, a revision, or 0 and 1, depending on the fault. */
     value?: number;
 }
 
-/** What a stand-in offers on its control port. */
+/** Operations of a stand-in that its control port exposes. */
 export interface FaultTarget {
     timeline: Timeline;
-    /** Carries out a fault. Throws for an unknown one. */
+    /** Applies a fault. Throws if the fault is unknown. */
     apply(order: FaultOrder): void;
-    /** What the stand-in has counted. */
+    /** Returns the counters of the stand-in. */
     counts(): object;
-    /** Runs by request id, or by key of a plain service. */
+    /** Returns the number of runs by request identifier, or by idempotency key for a plain service. */
     runs(): Record<string, number>;
 }
 
 /** Serves the control port: `POST /faults`, `GET /counts`, `GET /runs`, `GET /events`. */
-export const serveFaults = (target: FaultTarget, address: string): Promise<Listener> =>
+export const serveControlPort = (target: FaultTarget, address: string): Promise<Listener> =>
     listen(address, async (request, response) => {
         const { method, path, query } = requestTarget(request);
         if (path === "/counts") {
--- a/src/standins/objectStoreModel.ts
+++ b/src/standins/objectStoreModel.ts
@@ -1,50 +1,53 @@
-/** A store of objects by kind and name: one revision counter, conditional writes, watches over a bounded history. */
+/**
+ * In-memory object store, keyed by kind and name. All kinds share one revision counter. Writes can be conditional, and
+ * watches read a change history that can be compacted.
+ */
 import type { Clock, Milliseconds } from "../utils/clock.js";
 import { DandelionrampError } from "../utils/errors.js";
 import { ChangeSignal } from "../utils/signal.js";
 
-/** An object as stored. */
-export interface ModelObject {
+/** A stored object. */
+export interface StoreObject {
     name: string;
     revision: number;
-    /** Revision of its first write. */
+    /** Revision at which the object was created. */
     created: number;
     value: unknown;
 }
 
-/** One change of a kind. */
-export interface ModelEvent {
-    object: ModelObject;
+/** A change of an object. */
+export interface StoreEvent {
+    object: StoreObject;
     removed: boolean;
 }
 
-/** What became of a write. */
-export type ModelWrite =
-    | { type: "Written"; object: ModelObject; }
-    | { type: "Conflict"; object: ModelObject; }
+/** Result of a write. */
+export type StoreWriteResult =
+    | { type: "Written"; object: StoreObject; }
+    | { type: "Conflict"; object: StoreObject; }
     | { type: "Missing"; };
 
-/** The history since the asked revision is gone. */
-export class ForgottenError extends DandelionrampError {
+/** The history since the requested revision has been compacted. */
+export class HistoryCompactedError extends DandelionrampError {
     constructor() {
-        super("this history is gone");
+        super("the history since the requested revision has been compacted");
     }
 }
 
-interface Logged extends ModelEvent {
+interface HistoryEntry extends StoreEvent {
     kind: string;
     revision: number;
 }
 
-/** The store in memory. */
+/** Model of the object store. */
 export class ObjectStoreModel {
-    private readonly kinds = new Map<string, Map<string, ModelObject>>();
-    private log: Logged[] = [];
+    private readonly objectsByKind = new Map<string, Map<string, StoreObject>>();
+    private history: HistoryEntry[] = [];
     private revision = 1;
-    private forgottenUpTo = 0;
-    private readonly changed = new ChangeSignal();
-    /** Watches hear nothing while this is set, and changes are made all the same. */
-    deaf = false;
+    private compactedRevision = 0;
+    private readonly changeSignal = new ChangeSignal();
+    /** While set, watches receive no events although writes still take effect. */
+    areWatchesSilent = false;
 
     constructor(private readonly clock: Clock) {}
 
@@ -52,110 +55,117 @@
         return this.revision;
     }
 
-    get(kind: string, name: string): ModelObject | undefined {
-        return this.kinds.get(kind)?.get(name);
+    get(kind: string, name: string): StoreObject | undefined {
+        return this.objectsByKind.get(kind)?.get(name);
     }
 
-    /** Objects behind `after` in the order of their names. */
-    list(kind: string, after: string, atMost: number): { objects: ModelObject[]; more: boolean; } {
-        const all = [...this.kinds.get(kind)?.values() ?? []]
+    /** Returns up to `limit` objects whose names sort after `after`, in name order. */
+    list(kind: string, after: string, limit: number): { objects: StoreObject[]; more: boolean; } {
+        const matching = [...this.objectsByKind.get(kind)?.values() ?? []]
             .filter(object => object.name > after)
             .sort((left, right) => left.name < right.name ? -1 : 1);
-        return { objects: all.slice(0, atMost), more: all.length > atMost };
+        return { objects: matching.slice(0, limit), more: matching.length > limit };
     }
 
-    /** Creates an object; a conflict when it is there. */
-    create(kind: string, name: string, value: unknown): ModelWrite {
-        const present = this.get(kind, name);
-        return present ? { type: "Conflict", object: present } : this.store(kind, name, value, undefined);
+    /** Creates an object. Returns a conflict if the object exists. */
+    create(kind: string, name: string, value: unknown): StoreWriteResult {
+        const existing = this.get(kind, name);
+        return existing ? { type: "Conflict", object: existing } : this.storeObject(kind, name, value, undefined);
     }
 
-    /** Replaces an object; a conflict when `expected` is given and isn't its revision. */
-    replace(kind: string, name: string, value: unknown, expected: number | undefined): ModelWrite {
-        const present = this.get(kind, name);
-        if (!present) {
+    /** Replaces an object. Returns a conflict if `expectedRevision` is given and differs from the revision of the object. */
+    replace(kind: string, name: string, value: unknown, expectedRevision: number | undefined): StoreWriteResult {
+        const existing = this.get(kind, name);
+        if (!existing) {
             return { type: "Missing" };
         }
-        if (expected !== undefined && expected !== present.revision) {
-            return { type: "Conflict", object: present };
+        if (expectedRevision !== undefined && expectedRevision !== existing.revision) {
+            return { type: "Conflict", object: existing };
         }
-        if (JSON.stringify(present.value) === JSON.stringify(value)) {
-            return { type: "Written", object: present };
+        if (JSON.stringify(existing.value) === JSON.stringify(value)) {
+            return { type: "Written", object: existing };
         }
-        return this.store(kind, name, value, present);
+        return this.storeObject(kind, name, value, existing);
     }
 
-    /** Creates or replaces, as an operator or an endpoint does. */
+    /** Creates or replaces an object unconditionally, as an operator or an endpoint does. */
     put(kind: string, name: string, value: unknown): void {
         if (this.create(kind, name, value).type === "Conflict") {
             this.replace(kind, name, value, undefined);
         }
     }
 
-    remove(kind: string, name: string): ModelWrite {
-        const present = this.get(kind, name);
-        if (!present) {
+    remove(kind: string, name: string): StoreWriteResult {
+        const existing = this.get(kind, name);
+        if (!existing) {
             return { type: "Missing" };
         }
-        this.kinds.get(kind)!.delete(name);
-        this.append(kind, { object: present, removed: true });
-        return { type: "Written", object: present };
+        this.objectsByKind.get(kind)!.delete(name);
+        this.appendEvent(kind, { object: existing, removed: true });
+        return { type: "Written", object: existing };
     }
 
-    /** Drops the history: who watches from an older revision must list. */
-    forget(): void {
-        this.forgottenUpTo = this.revision;
-        this.log = [];
-        this.changed.notify();
+    /** Drops the change history, so a watch from an older revision must relist. */
+    compactHistory(): void {
+        this.compactedRevision = this.revision;
+        this.history = [];
+        this.changeSignal.notify();
     }
 
     /**
-     * Resolves with the changes behind `revision` once there are any, or with none after `wait`, and with the revision up
-     * to which they are all.
+     * Resolves with the changes after `revision` as soon as there are any, or with none after `wait`. The returned revision
+     * is the one up to which the changes are complete.
      */
     async watch(
         kind: string,
         revision: number,
         wait: Milliseconds,
         signal: AbortSignal,
-    ): Promise<{ events: ModelEvent[]; revision: number; }> {
+    ): Promise<{ events: StoreEvent[]; revision: number; }> {
         const stop = new AbortController();
         const end = () => stop.abort();
         signal.addEventListener("abort", end, { once: true });
         const timer = this.clock.sleep(wait, stop.signal).then(end);
-        while (!stop.signal.aborted && (this.deaf || this.since(kind, revision).length === 0)) {
-            await this.changed.next(stop.signal);
+        while (!stop.signal.aborted && (this.areWatchesSilent || this.eventsSince(kind, revision).length === 0)) {
+            await this.changeSignal.next(stop.signal);
         }
         stop.abort();
         await timer;
         signal.removeEventListener("abort", end);
-        // Both are read in one step: a change in between would be in neither.
-        return this.deaf ? { events: [], revision } : { events: this.since(kind, revision), revision: this.revision };
+        // Events and revision are read synchronously: the revision would otherwise cover a change that the events lack.
+        return this.areWatchesSilent
+            ? { events: [], revision }
+            : { events: this.eventsSince(kind, revision), revision: this.revision };
     }
 
-    private since(kind: string, revision: number): ModelEvent[] {
-        if (revision < this.forgottenUpTo) {
-            throw new ForgottenError();
+    private eventsSince(kind: string, revision: number): StoreEvent[] {
+        if (revision < this.compactedRevision) {
+            throw new HistoryCompactedError();
         }
-        return this.log.filter(entry => entry.kind === kind && entry.revision > revision);
+        return this.history.filter(entry => entry.kind === kind && entry.revision > revision);
     }
 
-    private store(kind: string, name: string, value: unknown, present: ModelObject | undefined): ModelWrite {
+    private storeObject(
+        kind: string,
+        name: string,
+        value: unknown,
+        existing: StoreObject | undefined,
+    ): StoreWriteResult {
         const revision = this.revision + 1;
-        const object = { name, revision, created: present?.created ?? revision, value };
-        let objects = this.kinds.get(kind);
+        const object = { name, revision, created: existing?.created ?? revision, value };
+        let objects = this.objectsByKind.get(kind);
         if (!objects) {
             objects = new Map();
-            this.kinds.set(kind, objects);
+            this.objectsByKind.set(kind, objects);
         }
         objects.set(name, object);
-        this.append(kind, { object, removed: false });
+        this.appendEvent(kind, { object, removed: false });
         return { type: "Written", object };
     }
 
-    private append(kind: string, event: ModelEvent): void {
+    private appendEvent(kind: string, event: StoreEvent): void {
         this.revision++;
-        this.log.push({ ...event, kind, revision: this.revision });
-        this.changed.notify();
+        this.history.push({ ...event, kind, revision: this.revision });
+        this.changeSignal.notify();
     }
 }
--- a/src/standins/platformModel.ts
+++ b/src/standins/platformModel.ts
@@ -1,4 +1,7 @@
-/** The stand-in platform's store: versions, conditional writes, watches, a lagging instance list, counted calls. */
+/**
+ * In-memory model of the platform. Stores versioned objects with conditional writes and watches, serves an instance list
+ * that lags behind its changes, and limits and counts calls.
+ */
 import {
     ChangeSignal,
     Clock,
@@ -10,27 +13,27 @@
     WriteOutcome,
 } from "../internal.js";
 
-/** Faults that can be set on the platform. */
+/** Faults that can be injected into the platform. */
 export interface PlatformFaults {
     /** Every call fails. */
     down: boolean;
-    /** Added to every call. */
+    /** Delay added to every call. */
     slowMilliseconds: Milliseconds;
-    /** Share of writes that take effect and lose their answer. */
-    lostAnswers: number;
-    /** Watches never answer. */
+    /** Share of writes that take effect but whose responses are lost. */
+    lostResponseShare: number;
+    /** Watches return no changes. */
     silentWatches: boolean;
-    /** How far the instance list lags. */
+    /** Delay with which changes show up in the instance list. */
     listLagMilliseconds: Milliseconds;
-    /** Calls taken in one second; the rest is refused. */
+    /** Calls accepted per second; further calls are rejected. */
     callsPerSecond: number;
 }
 
-/** Faults of a healthy platform. */
-export const healthyPlatform: PlatformFaults = {
+/** Fault settings of a healthy platform. */
+export const defaultPlatformFaults: PlatformFaults = {
     down: false,
     slowMilliseconds: 0,
-    lostAnswers: 0,
+    lostResponseShare: 0,
     silentWatches: false,
     listLagMilliseconds: 500,
     callsPerSecond: 2_500,
@@ -39,27 +42,27 @@
 interface ListedInstance {
     record: InstanceRecord;
     changedAt: Milliseconds;
-    /** What the list showed before, while the change still lags. */
-    before: InstanceRecord | undefined;
+    /** Record that the list shows while the change is not visible yet. */
+    previousRecord: InstanceRecord | undefined;
     removed: boolean;
 }
 
-const keyOf = (kind: ObjectKind, name: string): string => `${kind}/${name}`;
+const objectKey = (kind: ObjectKind, name: string): string => `${kind}/${name}`;
 
-/** The store in memory. */
+/** Model of the platform. */
 export class PlatformModel {
-    readonly faults: PlatformFaults = { ...healthyPlatform };
+    readonly faults: PlatformFaults = { ...defaultPlatformFaults };
     readonly counts = { reads: 0, writes: 0, watches: 0, refused: 0 };
-    private readonly changed = new ChangeSignal();
+    private readonly changeSignal = new ChangeSignal();
     private readonly objects = new Map<string, StoredObject>();
-    private readonly listed = new Map<string, ListedInstance>();
+    private readonly listedInstances = new Map<string, ListedInstance>();
     private revision = 0;
     private windowStart: Milliseconds = 0;
     private windowCalls = 0;
 
     constructor(private readonly clock: Clock) {}
 
-    /** Counts a call against the rate; false when it is refused. */
+    /** Counts a call against the rate limit. Returns false if the call exceeds the limit. */
     admit(): boolean {
         const now = this.clock.now();
         if (now - this.windowStart >= 1_000) {
@@ -76,7 +79,7 @@
 
     read(kind: ObjectKind, name: string): StoredObject | undefined {
         this.counts.reads++;
-        const object = this.objects.get(keyOf(kind, name));
+        const object = this.objects.get(objectKey(kind, name));
         return object?.value === undefined ? undefined : object;
     }
 
@@ -88,21 +91,21 @@
         return { revision: this.revision, objects };
     }
 
-    /** Writes, or removes with an undefined value, when the version is the expected one. */
+    /** Writes an object if its version is the expected one. An undefined value removes the object. */
     write(kind: ObjectKind, name: string, expectedVersion: number, value: unknown): WriteOutcome {
         this.counts.writes++;
-        const current = this.objects.get(keyOf(kind, name));
-        const present = current?.value === undefined ? undefined : current;
-        if ((present?.version ?? 0) !== expectedVersion) {
-            return { type: "Conflict", current: present };
+        const current = this.objects.get(objectKey(kind, name));
+        const existing = current?.value === undefined ? undefined : current;
+        if ((existing?.version ?? 0) !== expectedVersion) {
+            return { type: "Conflict", current: existing };
         }
         this.revision++;
-        this.objects.set(keyOf(kind, name), { kind, name, version: this.revision, value });
-        this.changed.notify();
+        this.objects.set(objectKey(kind, name), { kind, name, version: this.revision, value });
+        this.changeSignal.notify();
         return { type: "Written", version: this.revision };
     }
 
-    /** Resolves with the changes after `revision`, or with none after `wait`. */
+    /** Resolves with the changes after `revision` as soon as there are any, or with none after `wait`. */
     async watch(
         kinds: readonly ObjectKind[],
         revision: number,
@@ -115,7 +118,7 @@
         signal.addEventListener("abort", end, { once: true });
         const timer = this.clock.sleep(wait, stop.signal).then(end);
         while (!stop.signal.aborted && (this.faults.silentWatches || this.changesSince(kinds, revision).length === 0)) {
-            await this.changed.next(stop.signal);
+            await this.changeSignal.next(stop.signal);
         }
         stop.abort();
         await timer;
@@ -124,43 +127,43 @@
         return { revision: objects.length > 0 ? this.revision : revision, objects };
     }
 
-    /** The instance list as it was a while ago. */
+    /** Returns the instance list without the changes of the last `listLagMilliseconds`. */
     instances(): InstanceRecord[] {
         this.counts.reads++;
-        const shown: InstanceRecord[] = [];
+        const visible: InstanceRecord[] = [];
         const now = this.clock.now();
-        for (const [id, listed] of this.listed) {
+        for (const [id, listed] of this.listedInstances) {
             const lags = now - listed.changedAt < this.faults.listLagMilliseconds;
             if (lags) {
-                if (listed.before) {
-                    shown.push(listed.before);
+                if (listed.previousRecord) {
+                    visible.push(listed.previousRecord);
                 }
                 continue;
             }
             if (listed.removed) {
-                this.listed.delete(id);
+                this.listedInstances.delete(id);
                 continue;
             }
-            shown.push(listed.record);
+            visible.push(listed.record);
         }
-        return shown;
+        return visible;
     }
 
-    /** Puts an instance on the list. */
+    /** Adds an instance to the list or replaces its record. */
     announce(record: InstanceRecord): void {
         this.counts.writes++;
-        this.change(record.id, record, false);
+        this.recordInstanceChange(record.id, record, false);
     }
 
-    /** Takes an instance off the list, as the platform does with one that is gone. */
+    /** Removes an instance from the list, as the platform does when an instance has terminated. */
     removeInstance(id: string): void {
-        const listed = this.listed.get(id);
+        const listed = this.listedInstances.get(id);
         if (listed) {
-            this.change(id, listed.record, true);
+            this.recordInstanceChange(id, listed.record, true);
         }
     }
 
-    /** Forgets the newest writes, as a store restored from an old copy does. */
+    /** Discards all objects written after `revision`, as a store restored from an old backup does. */
     revertTo(revision: number): void {
         for (const [key, object] of this.objects) {
             if (object.version > revision) {
@@ -174,15 +177,15 @@
         return this.revision;
     }
 
-    /** Every object of a kind, for checks. */
-    all(kind: ObjectKind): StoredObject[] {
+    /** Returns all objects of a kind, for assertions. */
+    objectsOfKind(kind: ObjectKind): StoredObject[] {
         return [...this.objects.values()].filter(object => object.kind === kind && object.value !== undefined);
     }
 
-    private change(id: string, record: InstanceRecord, removed: boolean): void {
-        const listed = this.listed.get(id);
+    private recordInstanceChange(id: string, record: InstanceRecord, removed: boolean): void {
+        const listed = this.listedInstances.get(id);
         const before = listed && !listed.removed ? listed.record : undefined;
-        this.listed.set(id, { record, changedAt: this.clock.now(), before, removed });
+        this.listedInstances.set(id, { record, changedAt: this.clock.now(), previousRecord: before, removed });
     }
 
     private changesSince(kinds: readonly ObjectKind[], revision: number): StoredObject[] {
--- a/src/standins/platformServer.ts
+++ b/src/standins/platformServer.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform over HTTP. */
+/** HTTP server of the stand-in platform, with the faults that its control port can set. */
 import { IncomingMessage, ServerResponse } from "node:http";
 import {
     absentVersion,
@@ -16,19 +16,19 @@
     WriteOutcome,
 } from "../internal.js";
 import { FaultOrder, FaultTarget } from "./faultPort.js";
-import { healthyPlatform, PlatformModel } from "./platformModel.js";
+import { defaultPlatformFaults, PlatformModel } from "./platformModel.js";
 
 const bodyLimitBytes = 2 * 1024 * 1024;
 const objectPath = /^\/objects\/([A-Za-z]+)\/([^/]+)$/;
 const instancePath = /^\/instances\/([^/]+)$/;
 
-/** A platform that listens. */
+/** A running stand-in platform. */
 export interface PlatformStandIn extends FaultTarget {
     model: PlatformModel;
     listener: Listener;
 }
 
-const kindsOf = (query: URLSearchParams): ObjectKind[] => (query.get("kinds") ?? "").split(",") as ObjectKind[];
+const parseKinds = (query: URLSearchParams): ObjectKind[] => (query.get("kinds") ?? "").split(",") as ObjectKind[];
 
 const sendOutcome = (response: ServerResponse, outcome: WriteOutcome): void => {
     if (outcome.type === "Conflict") {
@@ -38,7 +38,7 @@
     sendJson(response, 200, { version: outcome.version });
 };
 
-/** Serves a platform at `address`, with `objects` stored from the start. */
+/** Starts a platform that serves at `address` and initially stores `objects`. */
 export const startPlatform = async (
     address: string,
     clock: Clock,
@@ -100,14 +100,18 @@
         return;
     }
     if (path === "/objects") {
-        sendJson(response, 200, model.list(kindsOf(query)));
+        sendJson(response, 200, model.list(parseKinds(query)));
         return;
     }
     if (path === "/watch") {
-        const gone = new AbortController();
-        response.on("close", () => gone.abort());
+        const disconnected = new AbortController();
+        response.on("close", () => disconnected.abort());
         const wait = Number(query.get("wait") ?? 0);
-        sendJson(response, 200, await model.watch(kindsOf(query), Number(query.get("revision")), wait, gone.signal));
+        sendJson(
+            response,
+            200,
+            await model.watch(parseKinds(query), Number(query.get("revision")), wait, disconnected.signal),
+        );
         return;
     }
     if (path === "/instances") {
@@ -144,7 +148,7 @@
     }
     const value = method === "PUT" ? (JSON.parse(body) as { value: unknown; }).value : undefined;
     const outcome = model.write(kind, name, Number(query.get("version")), value);
-    if (Math.random() < model.faults.lostAnswers) {
+    if (Math.random() < model.faults.lostResponseShare) {
         response.destroy();
         return;
     }
@@ -160,7 +164,7 @@
             model.faults.slowMilliseconds = value;
             return;
         case "loseAnswers":
-            model.faults.lostAnswers = value;
+            model.faults.lostResponseShare = value;
             return;
         case "silentWatches":
             model.faults.silentWatches = value !== 0;
@@ -175,7 +179,7 @@
             model.revertTo(value);
             return;
         case "heal":
-            Object.assign(model.faults, healthyPlatform);
+            Object.assign(model.faults, defaultPlatformFaults);
             return;
         default:
             throw new DandelionrampError(
--- a/src/standins/revivable.ts
+++ b/src/standins/revivableListener.ts
@@ -1,7 +1,7 @@
-/** A listener that disappears while its process counts as dead, so that connections are refused. */
+/** A listener that closes while its modelled process is dead, so that the operating system refuses connections. */
 import { listen, Listener, RequestHandler } from "../internal.js";
 
-/** A listener that can be taken down and brought back on the same port. */
+/** A listener that can be closed and reopened on the same port. */
 export class RevivableListener {
     private constructor(private listener: Listener, private readonly handler: RequestHandler) {}
 
@@ -13,13 +13,13 @@
         return this.listener.address;
     }
 
-    /** Cuts every connection and refuses new ones. */
-    async down(): Promise<void> {
+    /** Closes all connections and stops listening. */
+    async takeDown(): Promise<void> {
         await this.listener.close();
     }
 
-    /** Listens again at the same address. */
-    async up(): Promise<void> {
+    /** Listens on the same address again. */
+    async bringUp(): Promise<void> {
         this.listener = await listen(this.listener.address, this.handler);
     }
 
--- a/src/standins/serviceModel.ts
+++ b/src/standins/serviceModel.ts
@@ -1,4 +1,4 @@
-/** The stand-in plain service: counts the runs of each key. */
+/** In-memory model of a plain service. Counts the runs of each idempotency key, so that tests detect repeated runs. */
 import {
     Clock,
     EndpointReport,
@@ -11,29 +11,29 @@
     sharedAbortController,
 } from "../internal.js";
 
-/** Speed of a plain service. */
+/** Parameters of a plain service. */
 export interface ServiceShape {
     workMilliseconds: Milliseconds;
     concurrency: number;
 }
 
-/** A service of the usual speed. */
+/** Default parameters of a plain service. */
 export const defaultServiceShape: ServiceShape = { workMilliseconds: 5, concurrency: 64 };
 
-/** A plain service in memory. Its counts outlive its process, as a database's would. */
+/** Model of one replica of a plain service. The run counts survive its modelled process, as in a database. */
 export class ServiceModel {
     incarnation: string;
-    /** Time from the run itself to its answer: faults fall into it. */
-    answerDelayMilliseconds = 0;
-    private running = 0;
-    private life = sharedAbortController();
+    /** Added delay between a run and its response, in which a fault can strike. */
+    responseDelayMilliseconds = 0;
+    private runningCount = 0;
+    private lifetimeController = sharedAbortController();
     private up = true;
 
     constructor(
         private readonly shape: ServiceShape,
         private readonly clock: Clock,
         private readonly random: Random,
-        /** Runs by key, shared by the replicas of one service. */
+        /** Number of runs by idempotency key, shared by the replicas of a service. */
         readonly runs: Map<string, number>,
     ) {
         this.incarnation = randomIdentifier(random);
@@ -44,14 +44,14 @@
     }
 
     get lifetime(): AbortSignal {
-        return this.life.signal;
+        return this.lifetimeController.signal;
     }
 
     report(): EndpointReport {
         return {
             incarnation: this.incarnation,
             temperature: EndpointTemperature.Warm,
-            running: this.running,
+            running: this.runningCount,
             memoryCapacityTokens: 0,
             memoryUsedTokens: 0,
             waitingPromptTokens: 0,
@@ -60,14 +60,17 @@
         };
     }
 
-    /** Runs a call: once for each time it is called. */
+    /** Runs a request. Each invocation that is not a GET counts as one run; requests are not deduplicated. */
     async call(request: ServiceRequest): Promise<ServiceResponse> {
-        this.running++;
+        this.runningCount++;
         const key = request.idempotencyKey ?? request.requestId;
         const runs = (this.runs.get(key) ?? 0) + (request.method === "GET" ? 0 : 1);
         this.runs.set(key, runs);
-        await this.clock.sleep(this.shape.workMilliseconds + this.answerDelayMilliseconds, this.life.signal);
-        this.running--;
+        await this.clock.sleep(
+            this.shape.workMilliseconds + this.responseDelayMilliseconds,
+            this.lifetimeController.signal,
+        );
+        this.runningCount--;
         const { method, path, requestId } = request;
         const body = JSON.stringify({ runs, key, method, path, requestId, bytes: request.body.length });
         return { status: method === "POST" ? 201 : 200, contentType: "application/json", body: Buffer.from(body) };
@@ -75,9 +78,9 @@
 
     die(): void {
         this.up = false;
-        this.running = 0;
-        this.life.abort();
-        this.life = sharedAbortController();
+        this.runningCount = 0;
+        this.lifetimeController.abort();
+        this.lifetimeController = sharedAbortController();
     }
 
     revive(): void {
--- a/src/standins/serviceServer.ts
+++ b/src/standins/serviceServer.ts
@@ -1,34 +1,36 @@
-/** The stand-in plain service over HTTP. */
+/** HTTP server of the stand-in plain service, with the faults that its control port can set. */
 import { IncomingMessage, ServerResponse } from "node:http";
 import { Clock, DandelionrampError, Random, readBody, requestTarget, sendJson, Timeline } from "../internal.js";
 import { FaultOrder, FaultTarget } from "./faultPort.js";
-import { RevivableListener } from "./revivable.js";
+import { RevivableListener } from "./revivableListener.js";
 import { ServiceModel, ServiceShape } from "./serviceModel.js";
 
 const bodyLimitBytes = 16 * 1024 * 1024;
 
-/** A service that listens. */
+/** A running replica of a plain service. */
 export interface ServiceStandIn extends FaultTarget {
     model: ServiceModel;
     listener: RevivableListener;
     close(): Promise<void>;
 }
 
-/** What happens to answers of calls that have run. */
-interface AnswerFaults {
-    lost: number;
-    frozen: Promise<void>;
+/** Faults that affect request handling and responses. */
+interface ResponseFaults {
+    /** Number of next responses to drop after their request has run. */
+    lostResponseCount: number;
+    /** Resolves when the freeze ends; no request is handled before. */
+    freezeEnd: Promise<void>;
 }
 
 const serve = async (
     model: ServiceModel,
-    faults: AnswerFaults,
+    faults: ResponseFaults,
     timeline: Timeline,
     request: IncomingMessage,
     response: ServerResponse,
 ): Promise<void> => {
     const body = await readBody(request, bodyLimitBytes);
-    await faults.frozen;
+    await faults.freezeEnd;
     const { method, path } = requestTarget(request);
     if (path === "/report") {
         sendJson(response, 200, model.report());
@@ -37,17 +39,17 @@
     const requestId = String(request.headers["x-request-id"] ?? "");
     const idempotencyKey = request.headers["idempotency-key"] as string | undefined;
     timeline.record("service", "run", requestId, `${method} ${path}`);
-    const answer = await model.call({ method, path, body, requestId, idempotencyKey });
-    if (faults.lost > 0) {
-        faults.lost--;
+    const result = await model.call({ method, path, body, requestId, idempotencyKey });
+    if (faults.lostResponseCount > 0) {
+        faults.lostResponseCount--;
         response.destroy();
         return;
     }
-    response.writeHead(answer.status, { "content-type": "application/json", "content-length": answer.body.length });
-    response.end(answer.body);
+    response.writeHead(result.status, { "content-type": "application/json", "content-length": result.body.length });
+    response.end(result.body);
 };
 
-/** Serves a plain service at `address`; replicas in one process may share their `runs`. */
+/** Starts a plain service that serves at `address`. Replicas in one process can share `runs`. */
 export const startService = async (
     name: string,
     address: string,
@@ -59,7 +61,7 @@
     const model = new ServiceModel(shape, clock, random, runs);
     const timeline = new Timeline(name, clock);
     timeline.record("service", "started");
-    const faults: AnswerFaults = { lost: 0, frozen: Promise.resolve() };
+    const faults: ResponseFaults = { lostResponseCount: 0, freezeEnd: Promise.resolve() };
     const listener = await RevivableListener.open(
         address,
         (request, response) => serve(model, faults, timeline, request, response),
@@ -68,20 +70,20 @@
         switch (fault) {
             case "die":
                 model.die();
-                void listener.down();
+                void listener.takeDown();
                 return;
             case "revive":
                 model.revive();
-                void listener.up();
+                void listener.bringUp();
                 return;
             case "freeze":
-                faults.frozen = clock.sleep(value);
+                faults.freezeEnd = clock.sleep(value);
                 return;
             case "loseAnswers":
-                faults.lost = value;
+                faults.lostResponseCount = value;
                 return;
             case "slow":
-                model.answerDelayMilliseconds = value;
+                model.responseDelayMilliseconds = value;
                 return;
             default:
                 throw new DandelionrampError(
