--- a/__performance_tests__/bench.js
+++ b/__performance_tests__/bench.js
@@ -1,4 +1,5 @@
-// npm run bench -- [NAME ...]: remakes the figures in docs/measurements. Without names, all of them.
+// Runs the measurements and rewrites their results in docs/measurements.
+// Usage: npm run bench -- [NAME ...]; without names, all measurements run.
 import { measureOwnPath } from "./ownPath.js";
 import { measureShortBesideLong } from "./shortBesideLong.js";
 import { measureSlopes } from "./slopes.js";
--- a/__performance_tests__/slopes.js
+++ b/__performance_tests__/slopes.js
@@ -1,13 +1,14 @@
-// Cost of control for one idle entry as the fleet grows: processor time, memory, platform calls. For docs/CAPACITY.md.
+// Control cost of one idle entry as the fleet grows: processor time, memory, platform calls and control traffic. The
+// results feed docs/CAPACITY.md.
 import { readFileSync } from "node:fs";
 import { platformControl, setFault, sleep } from "../scripts/fleet.js";
 import { defaultEngineShape, seededRandom, startEngine, systemClock } from "../scripts/loadLibrary.js";
-import { keep, makeFleet, table, usageOf } from "./shared.js";
+import { makeFleet, markdownTable, usageOf, writeResult } from "./shared.js";
 
 const seconds = 10;
-// A process that has just started compiles and collects; control costs what it costs after that.
+// A process that has just started still compiles code and collects garbage, so measuring starts after that.
 const settleMilliseconds = Number(process.env.BENCH_SETTLE ?? 30_000);
-const points = process.env.BENCH_POINTS?.split(",").map(Number);
+const selectedIndexes = process.env.BENCH_POINTS?.split(",").map(Number);
 const platform = "127.0.0.1:9000";
 
 const announceEngines = async count => {
@@ -36,22 +37,22 @@
     return engines;
 };
 
-const profiles = count =>
+const fillerProfiles = count =>
     Array.from(
         { length: count },
         (_, index) => ({ kind: "profile", name: `filler-${index}`, value: { shortPromptTokens: 1_000 + index } }),
     );
 
-// Bytes over the loopback interface, headers included: idle, all of it is control.
+// Bytes on the loopback interface, headers included. While the fleet is idle, all of them are control traffic.
 const loopbackBytes = () => Number(/lo:\s*(\d+)/.exec(readFileSync("/proc/net/dev", "utf8"))[1]);
 
-const callsOf = async () => {
+const countPlatformCalls = async () => {
     const counts = await (await fetch(`http://${platformControl}/counts`)).json();
     return counts.reads + counts.writes + counts.watches;
 };
 
 const measure = async ({ entries, endpoints, objects }) => {
-    const fleet = makeFleet({ engines: 0, services: 0, entries }, found => [...found, ...profiles(objects)]);
+    const fleet = makeFleet({ engines: 0, services: 0, entries }, stored => [...stored, ...fillerProfiles(objects)]);
     fleet.startAll();
     let engines = [];
     try {
@@ -61,12 +62,12 @@
         await sleep(settleMilliseconds);
         const pid = fleet.children.get("entry-1").pid;
         const before = usageOf(pid);
-        const callsBefore = await callsOf();
+        const callsBefore = await countPlatformCalls();
         const bytesBefore = loopbackBytes();
         await sleep(seconds * 1_000);
         const after = usageOf(pid);
         const kilobytes = (loopbackBytes() - bytesBefore) / seconds / entries / 1_000;
-        const calls = (await callsOf() - callsBefore) / seconds / entries;
+        const calls = (await countPlatformCalls() - callsBefore) / seconds / entries;
         return {
             entries,
             endpoints,
@@ -83,7 +84,7 @@
     }
 };
 
-const plans = [
+const measuredFleets = [
     { entries: 3, endpoints: 20, objects: 20 },
     { entries: 6, endpoints: 20, objects: 20 },
     { entries: 12, endpoints: 20, objects: 20 },
@@ -96,31 +97,35 @@
 ];
 
 export const measureSlopes = async () => {
-    const found = [];
-    for (const plan of points === undefined ? plans : points.map(point => plans[point])) {
-        found.push(await measure(plan));
+    const results = [];
+    for (
+        const fleetSize of selectedIndexes === undefined
+            ? measuredFleets
+            : selectedIndexes.map(index => measuredFleets[index])
+    ) {
+        results.push(await measure(fleetSize));
     }
-    const rows = found.map(each => [
-        each.entries,
-        each.endpoints,
-        each.objects,
-        each.corePercent.toFixed(2),
-        each.megabytes.toFixed(0),
-        each.platformCallsPerSecond.toFixed(2),
-        each.kilobytesPerSecond.toFixed(1),
+    const rows = results.map(result => [
+        result.entries,
+        result.endpoints,
+        result.objects,
+        result.corePercent.toFixed(2),
+        result.megabytes.toFixed(0),
+        result.platformCallsPerSecond.toFixed(2),
+        result.kilobytesPerSecond.toFixed(1),
     ]);
     const text =
-        `# Cost of control\n\nOne idle entry over ${seconds} s, ${
+        `# Control cost\n\nOne idle entry over ${seconds} s, ${
             settleMilliseconds / 1_000
         } s after its start, one run each; memory is the whole resident process, Node included.\n\n`
-        + table([
+        + markdownTable([
             "entries",
             "endpoints",
             "objects",
             "% of a core",
             "MB resident",
-            "platform calls/s an entry",
-            "kB/s an entry",
+            "platform calls/s per entry",
+            "kB/s per entry",
         ], rows);
-    keep(points === undefined ? "slopes" : "slopesTrial", found, text);
+    writeResult(selectedIndexes === undefined ? "slopes" : "slopesTrial", results, text);
 };
--- a/__performance_tests__/start.js
+++ b/__performance_tests__/start.js
@@ -1,4 +1,4 @@
-// Start of the serving program on the platform: time and processor time until it is ready, and its memory then.
+// Start-up of the forwarding program: time and processor time until the program is ready, and its memory at that point.
 import { spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, writeFileSync } from "node:fs";
 import http from "node:http";
@@ -7,12 +7,12 @@
 import { fileURLToPath } from "node:url";
 import { StoreServer } from "../target/platform/standins/storeServer.js";
 import { systemClock } from "../target/src/utils/clock.js";
-import { keep, median, table, usageOf } from "./shared.js";
+import { markdownTable, median, usageOf, writeResult } from "./shared.js";
 
 const root = fileURLToPath(new URL("..", import.meta.url));
 const runs = 9;
 const routeCounts = [10, 500];
-const lookMilliseconds = 2;
+const readinessPollMilliseconds = 2;
 
 const configuration = routes => ({
     version: 1,
@@ -51,23 +51,23 @@
 const startOnce = async (store, port) => {
     const file = join(mkdtempSync(join(tmpdir(), "dandelionramp-start-")), "entry.ini");
     writeFileSync(file, settingsText(store, port));
-    const begun = performance.now();
+    const startedAt = performance.now();
     const child = spawn(process.execPath, ["--max-old-space-size=160", `${root}/target/main.cjs`], {
         stdio: "ignore",
         env: { ...process.env, DANDELIONRAMP_SETTINGS: file },
     });
     while (!await isReady(port + 1)) {
-        await systemClock.sleep(lookMilliseconds);
+        await systemClock.sleep(readinessPollMilliseconds);
     }
-    const took = performance.now() - begun;
+    const duration = performance.now() - startedAt;
     const { milliseconds, megabytes } = usageOf(child.pid);
-    const ended = new Promise(resolve => child.once("exit", resolve));
+    const exited = new Promise(resolve => child.once("exit", resolve));
     child.kill("SIGKILL");
-    await ended;
-    return { took, milliseconds, megabytes };
+    await exited;
+    return { duration, milliseconds, megabytes };
 };
 
-/** Measures starts with few and with many routes. */
+/** Measures the start-up with few and with many routes. */
 export const measureStart = async () => {
     const store = new StoreServer(systemClock);
     const { address } = await store.openListener();
@@ -78,17 +78,23 @@
         for (let run = 0; run < runs; run++) {
             samples.push(await startOnce(address, 21_000 + run * 10));
         }
-        const of = key => Math.round(median(samples.map(sample => sample[key])) * 10) / 10;
-        result.push({ routes, runs, ready: of("took"), processor: of("milliseconds"), megabytes: of("megabytes") });
+        const medianOf = key => Math.round(median(samples.map(sample => sample[key])) * 10) / 10;
+        result.push({
+            routes,
+            runs,
+            ready: medianOf("duration"),
+            processor: medianOf("milliseconds"),
+            megabytes: medianOf("megabytes"),
+        });
     }
     await store.close();
-    const heads = ["routes", "ms to ready", "processor ms", "MB resident"];
+    const headings = ["routes", "ms to ready", "processor ms", "MB resident"];
     const rows = result.map(({ routes, ready, processor, megabytes }) => [routes, ready, processor, megabytes]);
-    keep(
+    writeResult(
         "start",
         result,
-        `# Start of the serving program\n\nMedians of ${runs} starts, the store's stand-in on the same machine.\n\n${
-            table(heads, rows)
+        `# Start-up of the forwarding program\n\nMedians of ${runs} starts, with the stand-in store on the same machine.\n\n${
+            markdownTable(headings, rows)
         }`,
     );
 };
--- a/scripts/checkFaults.js
+++ b/scripts/checkFaults.js
@@ -1,4 +1,5 @@
-// Kills, stops and continues entries and engines under load, each a process of its own, and counts what must be zero.
+// Fault injection under load. Kills, pauses and resumes the processes of entries and engines, breaks the platform, and
+// counts violations (double runs, false responses, late ends, lost memory), each of which must be zero.
 // Usage: node scripts/checkFaults.js [--seconds 180] [--seed 1]
 import { parseArgs } from "node:util";
 import {
@@ -22,81 +23,81 @@
 const entries = [1, 2, 3, 4, 5, 6];
 const targets = entries.map(callersOf);
 const fleet = new LocalFleet();
-const runs = new Map();
-const overloads = new Map();
-const disturbed = [];
-const done = { kills: 0, stops: 0, crashes: 0, outages: 0 };
+const runsByRequest = new Map();
+const overloadsByEngine = new Map();
+const faultPeriods = [];
+const injectedFaults = { kills: 0, stops: 0, crashes: 0, outages: 0 };
 const timeoutMilliseconds = 20_000;
 let stopping = false;
 
-const pick = count => 1 + Math.floor(random.next() * count);
+const pickIndex = count => 1 + Math.floor(random.next() * count);
 
-// The counts of a process end with it, so they are read every second and once more before it is killed.
+// The counts of a process are lost when it ends, so they are read every second and once more before the process is killed.
 const readEngine = async index => {
     try {
-        const found = await getJson(engineControl(index), "/runs");
-        for (const [requestId, count] of Object.entries(found)) {
-            runs.set(`${index}/${requestId}`, count);
+        const engineRuns = await getJson(engineControl(index), "/runs");
+        for (const [requestId, count] of Object.entries(engineRuns)) {
+            runsByRequest.set(`${index}/${requestId}`, count);
         }
         const counts = await getJson(engineControl(index), "/counts");
-        overloads.set(index, Math.max(overloads.get(index) ?? 0, counts.coldOverloads));
+        overloadsByEngine.set(index, Math.max(overloadsByEngine.get(index) ?? 0, counts.coldOverloads));
     }
     catch {
-        // Stopped or dead; the next reading is later.
+        // The engine is stopped or dead. Its counts are read again a second later.
     }
 };
 
 const readEngines = () => Promise.all(Array.from({ length: 20 }, (_, index) => readEngine(index + 1)));
 
-const disturb = (target, from, until) => disturbed.push({ target, from, until });
+const recordFaultPeriod = (target, from, until) => faultPeriods.push({ target, from, until });
 
 const killEntry = async () => {
-    const index = pick(6);
+    const index = pickIndex(6);
     const from = systemClock.now();
-    done.kills++;
+    injectedFaults.kills++;
     fleet.signal(`entry-${index}`, "SIGKILL");
     await sleep(1_500);
     fleet.start(`entry-${index}`);
-    disturb(callersOf(index), from - timeoutMilliseconds, from + 6_000);
+    recordFaultPeriod(callersOf(index), from - timeoutMilliseconds, from + 6_000);
 };
 
-const stopEntry = async () => {
-    const index = pick(6);
+const pauseEntry = async () => {
+    const index = pickIndex(6);
     const from = systemClock.now();
-    done.stops++;
+    injectedFaults.stops++;
     fleet.signal(`entry-${index}`, "SIGSTOP");
     await sleep(2_000 + random.next() * 8_000);
     fleet.signal(`entry-${index}`, "SIGCONT");
-    disturb(callersOf(index), from - timeoutMilliseconds, systemClock.now() + 1_000);
+    recordFaultPeriod(callersOf(index), from - timeoutMilliseconds, systemClock.now() + 1_000);
 };
 
 const killEngine = async () => {
-    const index = pick(20);
+    const index = pickIndex(20);
     const name = `engine-${String(index).padStart(2, "0")}`;
-    done.kills++;
+    injectedFaults.kills++;
     await readEngine(index);
     fleet.signal(name, "SIGKILL");
     await sleep(1_500);
     fleet.start(name);
 };
 
-const stopEngine = async () => {
-    const name = `engine-${String(pick(20)).padStart(2, "0")}`;
-    done.stops++;
+const pauseEngine = async () => {
+    const name = `engine-${String(pickIndex(20)).padStart(2, "0")}`;
+    injectedFaults.stops++;
     fleet.signal(name, "SIGSTOP");
     await sleep(2_000 + random.next() * 6_000);
     fleet.signal(name, "SIGCONT");
 };
 
-const faultEngine = async () => {
-    done.crashes++;
-    await setFault(engineControl(pick(20)), ["cold", "silent", "crash"][Math.floor(random.next() * 3)]).catch(() =>
+const injectEngineFault = async () => {
+    injectedFaults.crashes++;
+    await setFault(engineControl(pickIndex(20)), ["cold", "silent", "crash"][Math.floor(random.next() * 3)]).catch(() =>
         undefined
     );
 };
 
-const platformOutage = async () => {
-    done.outages++;
+const causePlatformOutage = async () => {
+    injectedFaults.outages++;
     await setFault(platformControl, "down", 1);
     await sleep(3_000 + random.next() * 5_000);
     await setFault(platformControl, "down", 0);
@@ -107,34 +108,34 @@
 
 const faults = [
     killEntry,
-    stopEntry,
-    stopEntry,
+    pauseEntry,
+    pauseEntry,
     killEngine,
-    stopEngine,
-    stopEngine,
-    faultEngine,
-    faultEngine,
-    platformOutage,
+    pauseEngine,
+    pauseEngine,
+    injectEngineFault,
+    injectEngineFault,
+    causePlatformOutage,
 ];
 
-const makeFaults = async () => {
+const injectFaults = async () => {
     const running = [];
     while (!stopping) {
         await sleep(1_500 + random.next() * 1_500);
         const fault = faults[Math.floor(random.next() * faults.length)];
-        running.push(fault().catch(error => process.stdout.write(`fault: ${error.message}\n`)));
+        running.push(fault().catch(error => process.stdout.write(`Injecting a fault failed: ${error.message}\n`)));
     }
     await Promise.all(running);
 };
 
-const readCounts = async () => {
+const pollEngines = async () => {
     while (!stopping) {
         await readEngines();
         await sleep(1_000);
     }
 };
 
-const book = async () => {
+const sendBookings = async () => {
     const bookings = [];
     const options = { customerKey: "quickstart", timeoutMilliseconds: 8_000, attempts: 6 };
     for (let index = 0; !stopping; index++) {
@@ -144,7 +145,7 @@
     return Promise.all(bookings);
 };
 
-const generate = () => {
+const runGenerationLoad = () => {
     const plan = {
         requests: seconds * 40,
         ratePerSecond: 40,
@@ -160,12 +161,12 @@
     return runExperiment(systemClock, { plan, targets, options, faults: [] });
 };
 
-const wasDisturbed = record =>
-    disturbed.some(({ target, from, until }) =>
+const overlapsFault = record =>
+    faultPeriods.some(({ target, from, until }) =>
         target === record.target && record.startedAt >= from && record.startedAt <= until
     );
 
-const tally = items => {
+const countByValue = items => {
     const counts = {};
     for (const item of items) {
         counts[item] = (counts[item] ?? 0) + 1;
@@ -173,7 +174,7 @@
     return counts;
 };
 
-const ranOnEngine = requestId => [...runs.keys()].some(key => key.endsWith(`/${requestId}`));
+const hasRunOnEngine = requestId => [...runsByRequest.keys()].some(key => key.endsWith(`/${requestId}`));
 
 const report = async (records, bookings) => {
     const serviceRuns = new Map();
@@ -187,20 +188,20 @@
         memory += (await getJson(engineControl(index), "/counts")).memoryUsedTokens;
     }
     const count = (list, condition) => list.filter(condition).length;
-    const undisturbed = records.filter(record => !wasDisturbed(record));
-    const must = {
+    const unaffectedRecords = records.filter(record => !overlapsFault(record));
+    const violations = {
         doubleRuns: count([...serviceRuns.values()], runsOfKey => runsOfKey > 1),
         bookedWithoutRun: count(bookings, booking => booking.end === "booked" && !serviceRuns.has(booking.key)),
         twoAnswersForOneKey: count(bookings, booking => booking.answers.length > 1),
         falseNotRunOfBookings: count(bookings, booking => booking.end === "notRun" && serviceRuns.has(booking.key)),
         falseNotRunOfGenerations: count(
             records,
-            record => record.execution === "not-run" && ranOnEngine(record.requestId),
+            record => record.execution === "not-run" && hasRunOnEngine(record.requestId),
         ),
-        lateEnds: count(undisturbed, record => record.totalMilliseconds > timeoutMilliseconds + 500),
+        lateEnds: count(unaffectedRecords, record => record.totalMilliseconds > timeoutMilliseconds + 500),
         crossed: count(records, record => record.outcome === "crossed"),
         cutTakenAsWhole: count(records, record => record.outcome === "falselyWhole"),
-        coldOverloads: [...overloads.values()].reduce((sum, value) => sum + value, 0),
+        coldOverloads: [...overloadsByEngine.values()].reduce((sum, value) => sum + value, 0),
         memoryLeftTokens: memory,
     };
     const outcomes = list =>
@@ -210,36 +211,40 @@
     const ends = Object.fromEntries(
         ["booked", "notRun", "unknown", "noAnswer"].map(end => [end, count(bookings, booking => booking.end === end)]),
     );
-    const seen = {
-        faults: done,
+    const observations = {
+        faults: injectedFaults,
         generations: records.length,
         all: outcomes(records),
-        atEntriesNotKilledOrStopped: outcomes(undisturbed),
+        atEntriesNotKilledOrStopped: outcomes(unaffectedRecords),
         bookings: bookings.length,
         ends,
-        unknownBecause: tally(bookings.filter(booking => booking.end === "unknown").map(booking => booking.detail)),
-        refusals: undisturbed.filter(record => record.outcome !== "whole").slice(0, 8).map(record =>
+        unknownBecause: countByValue(
+            bookings.filter(booking => booking.end === "unknown").map(booking => booking.detail),
+        ),
+        refusals: unaffectedRecords.filter(record => record.outcome !== "whole").slice(0, 8).map(record =>
             `${record.status} ${record.execution} ${record.detail}`
         ),
     };
-    process.stdout.write(`must be zero: ${JSON.stringify(must)}\nseen: ${JSON.stringify(seen, undefined, 1)}\n`);
-    return Object.values(must).every(value => value === 0);
+    process.stdout.write(
+        `must be zero: ${JSON.stringify(violations)}\nseen: ${JSON.stringify(observations, undefined, 1)}\n`,
+    );
+    return Object.values(violations).every(value => value === 0);
 };
 
 fleet.startAll();
 let passed = false;
 try {
     await untilReady(entries);
-    const generating = generate();
-    const booking = book();
-    const disturbing = makeFaults();
-    void readCounts();
+    const generationLoad = runGenerationLoad();
+    const bookingLoad = sendBookings();
+    const injecting = injectFaults();
+    void pollEngines();
     await sleep(seconds * 1_000);
     stopping = true;
-    await disturbing;
+    await injecting;
     await setFault(platformControl, "heal");
-    const records = await generating;
-    const bookings = await booking;
+    const records = await generationLoad;
+    const bookings = await bookingLoad;
     await sleep(60_000);
     await readEngines();
     passed = await report(records, bookings);
--- a/scripts/fleet.js
+++ b/scripts/fleet.js
@@ -1,13 +1,13 @@
-// Starts and ends the programs of the local fleet, each a process of its own.
+// Starts and stops the programs of the local fleet, each in its own process, and addresses their ports.
 import { spawn } from "node:child_process";
 import { mkdirSync, openSync, readdirSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 
 const root = fileURLToPath(new URL("..", import.meta.url));
 const localFolder = `${root}/examples/local`;
-const logs = `${root}/.local`;
+const logFolder = `${root}/.local`;
 
-const programOf = name => {
+const programArguments = name => {
     if (name.startsWith("entry-")) {
         return ["dandelionramp-entry.js"];
     }
@@ -17,14 +17,14 @@
     return ["dandelionramp-standin.js", name.startsWith("bookings-") ? "service" : "platform"];
 };
 
-/** Names of all programs of the fleet: platform first, entries last. */
+/** Returns the names of all programs of the fleet in start order: the platform first, the entries last. */
 const fleetNames = folder => {
-    const rank = name => name === "platform" ? 0 : name.startsWith("entry-") ? 2 : 1;
+    const startOrder = name => name === "platform" ? 0 : name.startsWith("entry-") ? 2 : 1;
     const names = readdirSync(folder).map(file => file.replace(/\.ini$/, ""));
-    return names.sort((first, second) => rank(first) - rank(second) || (first < second ? -1 : 1));
+    return names.sort((first, second) => startOrder(first) - startOrder(second) || (first < second ? -1 : 1));
 };
 
-/** Callers', operators' and control ports by the layout of examples/local. */
+/** Addresses of the callers', operators' and control ports, as laid out in examples/local. */
 export const callersOf = index => `127.0.0.1:${8079 + index}`;
 export const operatorsOf = index => `127.0.0.1:${8279 + index}`;
 export const engineControl = index => `127.0.0.1:${9099 + 2 * index}`;
@@ -41,10 +41,10 @@
     }
 
     start(name) {
-        mkdirSync(logs, { recursive: true });
-        const [program, ...rest] = programOf(name);
-        const log = openSync(`${logs}/${name}.log`, "a");
-        const commandLine = [`${root}/bin/${program}`, ...rest, "--settings", `${this.folder}/${name}.ini`];
+        mkdirSync(logFolder, { recursive: true });
+        const [program, ...subcommand] = programArguments(name);
+        const log = openSync(`${logFolder}/${name}.log`, "a");
+        const commandLine = [`${root}/bin/${program}`, ...subcommand, "--settings", `${this.folder}/${name}.ini`];
         const child = spawn(process.execPath, commandLine, { stdio: ["ignore", log, log] });
         this.children.set(name, child);
         this.exits.set(
@@ -71,7 +71,7 @@
         this.children.get(name)?.kill(signal);
     }
 
-    /** Ends every process of this fleet and waits for them. */
+    /** Terminates all processes of this fleet and waits until they have exited. Paused processes are resumed first. */
     async stopAll() {
         for (const child of this.children.values()) {
             child.kill("SIGCONT");
@@ -89,12 +89,12 @@
     await fetch(`http://${address}/faults`, { method: "POST", body: JSON.stringify({ fault, value }) });
 };
 
-/** Waits until every entry is ready and has a report of every endpoint. */
-export const untilReady = async (entries, endpoints = 23) => {
+/** Waits until every entry accepts requests, knows all endpoints and gets responses from all its peers. */
+export const untilReady = async (entries, endpointCount = 23) => {
     while (true) {
         const ready = await Promise.all(entries.map(async index => {
             const status = await getJson(operatorsOf(index), "/status").catch(() => undefined);
-            return status?.accepting && status.endpoints.length === endpoints
+            return status?.accepting && status.endpoints.length === endpointCount
                 && status.peers.every(peer => peer.answers);
         }));
         if (ready.every(value => value)) {
--- a/scripts/fuzz.js
+++ b/scripts/fuzz.js
@@ -1,4 +1,5 @@
-// Long hunts: npm run fuzz -- --seeds N [--first S] [--no-shrink] | --checker [--without NAME,NAME]
+// Runs the fuzz tests over many seeds, or tests the checker itself.
+// Usage: npm run fuzz -- --seeds N [--first S] [--no-shrink] | --checker [--without NAME,NAME]
 import { parseArgs } from "node:util";
 import { startVitest } from "vitest/node";
 
--- a/scripts/loadLibrary.js
+++ b/scripts/loadLibrary.js
@@ -1,4 +1,4 @@
-// The load tool's functions, from the build.
+// Functions of the load tool and the stand-ins, imported from the build.
 import { systemClock } from "../dist/index.js";
 import { EngineClient } from "../dist/internal.js";
 import { expectedResponse } from "../dist/standins/expectedResponse.js";
@@ -11,16 +11,16 @@
 export { startEngine } from "../dist/standins/engineServer.js";
 
 const client = new EngineClient(systemClock);
-/** Talks to an engine without any entry between. */
+/** Client that sends requests to an engine directly, without an entry. */
 export const engineClient = client;
 
-/** A prompt of a thousand tokens that asks for an answer of `answerTokens`. */
-export const randomPrompt = (index, answerTokens) =>
+/** Returns a prompt of a thousand tokens that requests a response of `answerTokens` tokens. */
+export const benchPrompt = (index, answerTokens) =>
     `bench ${index} [[tokens=${answerTokens}]] `.padEnd(4_000, "tents and crews ");
 
-/** Throws when an answer isn't the one that the stand-in engine makes of the prompt. */
-export const expectWhole = (prompt, text, answerTokens) => {
+/** Throws if a response differs from the one that the stand-in engine generates for the prompt. */
+export const expectExactResponse = (prompt, text, answerTokens) => {
     if (text !== expectedResponse(prompt, answerTokens)) {
-        throw new Error("an answer was not whole");
+        throw new Error("the response differs from the expected response to its prompt");
     }
 };
--- a/scripts/local.js
+++ b/scripts/local.js
@@ -1,4 +1,4 @@
-// Starts the local fleet, each program a process of its own, and stops them all on SIGINT or SIGTERM.
+// Starts the local fleet, each program in its own process, and stops all of them on SIGINT or SIGTERM.
 import { LocalFleet } from "./fleet.js";
 
 const fleet = new LocalFleet();
--- a/scripts/makeExamples.js
+++ b/scripts/makeExamples.js
@@ -1,5 +1,5 @@
-// Writes the INI files of a fleet: a platform, engines in three data centres, 3 plain services and entries, each for a
-// process of its own. Run by itself it writes examples/local; the measurements write fleets of other sizes.
+// Writes the INI files of a fleet: a platform, engines in three data centres, 3 plain services and entries, each in its own
+// process. Run as a program, the script writes examples/local; the performance tests import it for fleets of other sizes.
 import { mkdirSync, writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 
@@ -7,16 +7,16 @@
 const platform = "127.0.0.1:9000";
 
 const writeFile = (folder, name, sections) => {
-    const parts = Object.entries(sections).map(([section, keys]) => {
+    const sectionTexts = Object.entries(sections).map(([section, keys]) => {
         const lines = Object.entries(keys).map(([key, value]) => `${key} = ${value}`);
         return `[${section}]\n${lines.join("\n")}\n`;
     });
-    writeFileSync(`${folder}/${name}.ini`, parts.join("\n"));
+    writeFileSync(`${folder}/${name}.ini`, sectionTexts.join("\n"));
 };
 
 const writeEntry = (folder, index, entries) => {
     const id = `entry-${index + 1}`;
-    const others = Array.from({ length: entries }, (_, other) => other).filter(other => other !== index);
+    const peers = Array.from({ length: entries }, (_, other) => other).filter(other => other !== index);
     writeFile(folder, id, {
         instance: { id, dataCentre: dataCentres[index % 3] },
         listen: {
@@ -25,12 +25,12 @@
             operators: `127.0.0.1:${8280 + index}`,
         },
         platform: { address: platform },
-        peers: { seeds: others.map(other => `127.0.0.1:${8180 + other}`).join(", ") },
+        peers: { seeds: peers.map(other => `127.0.0.1:${8180 + other}`).join(", ") },
         log: { level: "warn" },
     });
 };
 
-/** Writes a fleet. `engine` holds keys of the engines' own section. */
+/** Writes the INI files of a fleet. `engine` holds the keys of the `engine` section of every engine. */
 export const writeFleet = ({ folder, objects, engines = 20, services = 3, entries = 6, engine = {} }) => {
     mkdirSync(folder, { recursive: true });
     writeFile(folder, "platform", {
