--- a/__tests__/fuzz/commands.ts
+++ b/__tests__/fuzz/commands.ts
@@ -127,7 +127,7 @@
                 void engine.model.crash();
                 return;
             case "cold":
-                engine.model.goCold();
+                engine.model.fallIntoColdStart();
                 return;
             case "silent":
                 engine.stallCount++;
@@ -195,8 +195,8 @@
                 undoLater(milliseconds, () => faults.slowMilliseconds = 0);
                 return;
             case "loseAnswers":
-                faults.lostAnswers = 0.5;
-                undoLater(milliseconds, () => faults.lostAnswers = 0);
+                faults.lostResponseShare = 0.5;
+                undoLater(milliseconds, () => faults.lostResponseShare = 0);
                 return;
             case "silentWatches":
                 faults.silentWatches = true;
--- a/__tests__/poison.test.ts
+++ b/__tests__/poison.test.ts
@@ -3,7 +3,8 @@
 import { FailureKind } from "../src/internal.js";
 import { play, Scene } from "./support/scenario.js";
 
-const crashCount = ({ world }: Scene): number => world.engines.reduce((sum, engine) => sum + engine.model.crashes, 0);
+const crashCount = ({ world }: Scene): number =>
+    world.engines.reduce((sum, engine) => sum + engine.model.crashCount, 0);
 
 /** One prompt crashes each engine that runs it. Its caller retries it nine times, through every entry in turn. */
 const retryPoison = async (scene: Scene): Promise<void> => {
--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -14,7 +14,7 @@
     ResponseChunk,
     systemClock,
 } from "../../src/internal.js";
-import { crashMark, expectedAnswer, isCrashing } from "../../src/standins/answer.js";
+import { crashMarker, expectedResponse, hasCrashMarker } from "../../src/standins/expectedResponse.js";
 import { FakeEntry, World } from "./world.js";
 
 /** How a caller's request ended. */
@@ -80,7 +80,7 @@
     /** Starts a generation and records its end. */
     generate(entry: FakeEntry, plan: GenerationPlan): CallerRequest {
         const answerTokens = plan.answerTokens ?? 20;
-        const promptStart = `${plan.poison ? crashMark : ""}[[tokens=${answerTokens}]] number ${this.sentCount}`;
+        const promptStart = `${plan.poison ? crashMarker : ""}[[tokens=${answerTokens}]] number ${this.sentCount}`;
         return this.generatePrompt(entry, promptStart.padEnd(plan.tokens * charactersPerToken, " x"), plan);
     }
 
@@ -91,8 +91,8 @@
         const { node } = entry;
         const service = node.configuration.service("standin")!;
         const profile = node.configuration.profileOf(service);
-        const request = this.createRequest(entry, timeout, undefined, expectedAnswer(prompt, answerTokens));
-        if (isCrashing(prompt)) {
+        const request = this.createRequest(entry, timeout, undefined, expectedResponse(prompt, answerTokens));
+        if (hasCrashMarker(prompt)) {
             this.requestIdsByPoisonPrompt.set(prompt, [
                 ...this.requestIdsByPoisonPrompt.get(prompt) ?? [],
                 request.requestId,
--- a/__tests__/support/world.ts
+++ b/__tests__/support/world.ts
@@ -231,7 +231,7 @@
     private callWithLostAnswers(work: () => WriteOutcome): Promise<WriteOutcome> {
         return this.call(() => {
             const outcome = work();
-            if (this.world.chance(this.world.platform.faults.lostAnswers)) {
+            if (this.world.chance(this.world.platform.faults.lostResponseShare)) {
                 throw new PlatformError("the response was lost", true);
             }
             return outcome;
@@ -587,7 +587,12 @@
 
     /** Ends all faults, except for killed entries. */
     heal(): void {
-        Object.assign(this.platform.faults, { down: false, slowMilliseconds: 0, lostAnswers: 0, silentWatches: false });
+        Object.assign(this.platform.faults, {
+            down: false,
+            slowMilliseconds: 0,
+            lostResponseShare: 0,
+            silentWatches: false,
+        });
         this.partitionedPairs.clear();
         for (const engine of this.engines) {
             engine.gate.thaw();
--- a/src/load/caller.ts
+++ b/src/load/caller.ts
@@ -1,7 +1,7 @@
 /** Sends one request of the load tool and checks the response against the expected text. */
 import { createParser } from "eventsource-parser";
 import { Clock, ExchangeError, IncomingResponse, Milliseconds, readBody, sendRequest } from "../internal.js";
-import { expectedAnswer } from "../standins/answer.js";
+import { expectedResponse } from "../standins/expectedResponse.js";
 import { Arrival } from "./arrivals.js";
 
 /** Outcome of a request, as its caller sees it. */
@@ -124,7 +124,7 @@
             ...base,
             firstTokenMilliseconds: state.firstTokenAt === undefined ? undefined : state.firstTokenAt - startedAt,
             totalMilliseconds: clock.now() - startedAt,
-            outcome: judgeStream(state, expectedAnswer(arrival.prompt, options.answerTokens)),
+            outcome: judgeStream(state, expectedResponse(arrival.prompt, options.answerTokens)),
             status: 200,
             requestId: response.headers["x-request-id"] as string | undefined,
             execution: problem.execution,
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -129,8 +129,8 @@
                 clock.after(duration, () => updateEndpoints(affected, endpoint => endpoint.isUnresponsive = false));
                 return;
             case FaultType.Slow:
-                updateEndpoints(affected, ({ engine }) => engine.slowness = fault.strength);
-                clock.after(duration, () => updateEndpoints(affected, ({ engine }) => engine.slowness = 1));
+                updateEndpoints(affected, ({ engine }) => engine.passTimeFactor = fault.strength);
+                clock.after(duration, () => updateEndpoints(affected, ({ engine }) => engine.passTimeFactor = 1));
                 return;
             case FaultType.Limited:
                 updateEndpoints(affected, endpoint => endpoint.limitPerSecond = fault.strength);
