--- a/__tests__/configurationHolds.test.ts
+++ b/__tests__/configurationHolds.test.ts
@@ -105,9 +105,9 @@
     world.platform.faults.down = true;
     await pass(3_000);
     const fresh = world.addEntry();
-    expect(fresh.node.ready).toBe(false);
+    expect(fresh.node.isReady).toBe(false);
     await pass(5_000);
-    expect(fresh.node.ready).toBe(true);
+    expect(fresh.node.isReady).toBe(true);
     const request = callers.generate(fresh, { tokens: 100 });
     await pass(5_000);
     expect(request.end?.type).toBe("Whole");
--- a/__tests__/forwarding/badRequests.test.ts
+++ b/__tests__/forwarding/badRequests.test.ts
@@ -112,7 +112,7 @@
         const answer = await call(early.callers, "/lookups/a");
         expect(answer.status).toBe(503);
         expect(Number(answer.headers["retry-after"])).toBeGreaterThan(0);
-        expect(early.entry.ready).toBe(false);
+        expect(early.entry.isReady).toBe(false);
     }
     finally {
         await bare.close();
--- a/__tests__/forwarding/budgets.test.ts
+++ b/__tests__/forwarding/budgets.test.ts
@@ -51,7 +51,7 @@
     const clock = fakeClock();
     const limits = () => ({ factor: 1.5, extra: 5 });
     const budgets = [...Array(count).keys()].map(rank =>
-        new ColdBudget(clock, limits, { size: count, rank: () => rank })
+        new ColdBudget(clock, limits, { budgetDivisor: count, rank: () => rank })
     );
     let sent = 0;
     for (clock.time = 0; clock.time < 1_000; clock.time++) {
--- a/__tests__/forwarding/configuration.test.ts
+++ b/__tests__/forwarding/configuration.test.ts
@@ -1,7 +1,7 @@
 /** State from a store that is unavailable, slow, stalled or without its history. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { Refusal } from "../../platform/standins/storeServer.js";
-import { configurationOf, endpointOf } from "../../platform/storedObjects.js";
+import { parseConfiguration, parseEndpoint } from "../../platform/storedObjects.js";
 import type { ForwardingEntry } from "../../src/adapters/forwarding/forwardingEntry.js";
 import { ActiveConfiguration } from "../../src/core/configuration/activeConfiguration.js";
 import { systemClock } from "../../src/utils/clock.js";
@@ -54,7 +54,7 @@
         door.refusal = refusal;
         await systemClock.sleep(2_100);
         site.configure(2);
-        expect(entry.ready).toBe(true);
+        expect(entry.isReady).toBe(true);
         expect((await call(callers, "/lookups/a")).status).toBe(200);
         door.refusal = Refusal.None;
         await until(() => entry.configuration.version === 2);
@@ -76,7 +76,7 @@
     // After a power loss all entries restart and callers reconnect at once. An entry that rejected requests in the few
     // milliseconds before it has its configuration would fail each caller's first attempt.
     const entry = await site.start("entry-1", false, { delay: 150 });
-    expect(entry.entry.ready).toBe(false);
+    expect(entry.entry.isReady).toBe(false);
     expect((await call(entry.callers, "/lookups/a")).status).toBe(200);
 });
 
@@ -138,16 +138,16 @@
     door.refusal = Refusal.Busy;
     await systemClock.sleep(300);
     door.refusal = Refusal.None;
-    await until(() => entry.ready);
+    await until(() => entry.isReady);
 });
 
 test("lower version is never taken", () => {
     // A list call that was in flight when a watch returned a newer version ends after that watch. Adopting the listed version
     // would restore removed routes and keys.
     const configuration = new ActiveConfiguration();
-    expect(configuration.adopt(configurationOf(operatorConfiguration(5))!)).toBe(true);
-    expect(configuration.adopt(configurationOf(operatorConfiguration(4))!)).toBe(false);
-    expect(configuration.adopt(configurationOf(operatorConfiguration(5))!)).toBe(false);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(5))!)).toBe(true);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(4))!)).toBe(false);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(5))!)).toBe(false);
     expect(configuration.version).toBe(5);
 });
 
@@ -221,15 +221,15 @@
 
 test("records that can't be read name no endpoint", () => {
     const record = { service: "s", address: "10.0.0.1:80", zone: "a", slots: 2, state: "ready", cold_remaining_ms: 0 };
-    expect(endpointOf("i", record)).toMatchObject({ service: "s", incarnation: 0 });
+    expect(parseEndpoint("i", record)).toMatchObject({ service: "s", incarnation: 0 });
     for (
         const fault of [{ slots: "2" }, { state: "asleep" }, { address: 7 }, { cold_remaining_ms: undefined }, {
             zone: {},
         }]
     ) {
-        expect(endpointOf("i", { ...record, ...fault })).toBeUndefined();
+        expect(parseEndpoint("i", { ...record, ...fault })).toBeUndefined();
     }
-    expect(endpointOf("i", "bytes")).toBeUndefined();
+    expect(parseEndpoint("i", "bytes")).toBeUndefined();
 });
 
 test("write is repeated after its response was lost", async () => {
--- a/__tests__/forwarding/limits.test.ts
+++ b/__tests__/forwarding/limits.test.ts
@@ -152,7 +152,7 @@
 }
 
 const limitsOf = (known: number, rank: number, clock = new SimulatedClock()): EndpointLimits =>
-    new EndpointLimits(clock, silentLog, { known, rank: () => rank });
+    new EndpointLimits(clock, silentLog, { knownCount: known, rank: () => rank });
 
 /** Requests that one entry may send at once. */
 const countAllowedSends = (limits: EndpointLimits, allowance: Allowance): number => {
--- a/__tests__/forwarding/membership.test.ts
+++ b/__tests__/forwarding/membership.test.ts
@@ -29,10 +29,10 @@
             publishesLoads: false,
             self: { id: self, address: "10.0.0.0:1", incarnation: "a" },
             dataCentre: "north",
-            known: () => ({}),
+            knownRevisions: () => ({}),
             readAges: () => ({}),
-            reads: () => true,
-            inProgress: () => [],
+            isStoreReachable: () => true,
+            activeRequestIds: () => [],
         });
         this.membership = new Membership(this.peers, self);
     }
@@ -53,9 +53,9 @@
     // After a power loss 80 entries start within a second without knowing each other. If each took a ninth of a cold
     // endpoint's budget, together they would send it nine times the budget.
     const fixture = new Fixture();
-    expect(fixture.membership.size).toBeGreaterThanOrEqual(85);
+    expect(fixture.membership.budgetDivisor).toBeGreaterThanOrEqual(85);
     fixture.applyListing(6);
-    expect(fixture.membership.size).toBe(9);
+    expect(fixture.membership.budgetDivisor).toBe(9);
 });
 
 test("unresponsive entries count toward the size", () => {
@@ -64,7 +64,7 @@
     fixture.applyListing(40);
     fixture.time = 60_000;
     expect(fixture.peers.livingCount).toBe(1);
-    expect(fixture.membership.size).toBe(40);
+    expect(fixture.membership.budgetDivisor).toBe(40);
 });
 
 test("all entries agree on their ranks", () => {
--- a/__tests__/forwarding/peerNews.test.ts
+++ b/__tests__/forwarding/peerUpdates.test.ts
@@ -48,10 +48,10 @@
             publishesLoads: true,
             self: { id, address, incarnation },
             dataCentre: `centre-${index % 3}`,
-            known: () => ({}),
+            knownRevisions: () => ({}),
             readAges: () => ({}),
-            reads: () => true,
-            inProgress: () => [],
+            isStoreReachable: () => true,
+            activeRequestIds: () => [],
         });
         const ending = new AbortController();
         const member: Member = {
--- a/__tests__/forwarding/peers.test.ts
+++ b/__tests__/forwarding/peers.test.ts
@@ -59,7 +59,7 @@
         site.lines.some(({ entry, message }) => entry === "entry-1" && message === "peers: An entry is stopping.")
     );
     await until(() => site.store.model.get("entries", "entry-2") === undefined);
-    expect(first.entry.ready).toBe(true);
+    expect(first.entry.isReady).toBe(true);
 });
 
 test("entry that the store turns away learns from others", async () => {
@@ -86,7 +86,7 @@
     await until(() => hasFound("entry-1", "entry-2"));
     await first.entry.close();
     const again = await site.start("entry-2", false, { refusal: Refusal.Silent, peers: first.peers });
-    await until(() => again.entry.ready);
+    await until(() => again.entry.isReady);
 });
 
 test("restarted entry learns the work in progress", async () => {
--- a/__tests__/forwarding/placement.test.ts
+++ b/__tests__/forwarding/placement.test.ts
@@ -72,7 +72,7 @@
             },
             revision: 1,
             coldUntil: 0,
-            dropAt: undefined,
+            expiresAt: undefined,
         }));
     }
 
--- a/__tests__/forwarding/placementClient.test.ts
+++ b/__tests__/forwarding/placementClient.test.ts
@@ -62,15 +62,15 @@
             metrics: new Metrics(),
             entry: "entry-1",
             directory,
-            coldBudget: new ColdBudget(clock, () => ({ factor: 1, extra: 0 }), { size: 9, rank: () => 5 }),
-            limits: new EndpointLimits(clock, silentLog, { known: 9, rank: () => 5 }),
+            coldBudget: new ColdBudget(clock, () => ({ factor: 1, extra: 0 }), { budgetDivisor: 9, rank: () => 5 }),
+            limits: new EndpointLimits(clock, silentLog, { knownCount: 9, rank: () => 5 }),
             selector: new EndpointSelector(loads, new FailureTracker(clock), seededRandom(1)),
             loads,
             peers: {
                 placersToAsk: () => placers,
-                placersRest: () => false,
-                notePlacerSilent: id => this.unresponsivePlacers.push(id),
-                askPlacement: (...[, question]) => this.questions.push(question),
+                hasUnresponsivePlacers: () => false,
+                recordPlacerTimeout: id => this.unresponsivePlacers.push(id),
+                requestPlacement: (...[, question]) => this.questions.push(question),
             },
         });
         this.list({ a: EndpointState.Ready, b: EndpointState.Ready });
--- a/__tests__/forwarding/storeAway.test.ts
+++ b/__tests__/forwarding/storeOutage.test.ts
@@ -162,10 +162,10 @@
             publishesLoads: false,
             self,
             dataCentre: `centre-${index % 3}`,
-            known,
+            knownRevisions: known,
             readAges: () => follower.readAge === undefined ? {} : { [kind]: follower.readAge },
-            reads: () => follower.reads,
-            inProgress: () => [],
+            isStoreReachable: () => follower.isStoreReachable,
+            activeRequestIds: () => [],
         });
         const membership = new Membership(peers, self.id);
         const peerState = new PeerState(peers, this.statePort(), membership, `centre-${index % 3}`, random);
--- a/__tests__/forwarding/support/site.ts
+++ b/__tests__/forwarding/support/site.ts
@@ -199,7 +199,7 @@
         const running = { entry, door, ...await entry.start() };
         this.entries.push(running);
         if (wait) {
-            await until(() => entry.ready);
+            await until(() => entry.isReady);
         }
         return running;
     }
--- a/__tests__/fuzz/commands.ts
+++ b/__tests__/fuzz/commands.ts
@@ -37,7 +37,7 @@
 }
 
 const acceptingEntries = ({ scene }: FuzzState): FakeEntry[] =>
-    scene.world.entries.filter(entry => entry.alive && !entry.stopped && entry.node.accepting);
+    scene.world.entries.filter(entry => entry.alive && !entry.stopped && entry.node.isAccepting);
 
 const pick = <Item>(items: readonly Item[], index: number): Item | undefined =>
     items[index % Math.max(1, items.length)];
--- a/__tests__/support/callers.ts
+++ b/__tests__/support/callers.ts
@@ -214,7 +214,7 @@
                 );
                 this.highestVersions.set(key, heldVersion);
                 const isSettled = now - Math.max(at, entry.frozenUntil) > changeEffectTimeoutMilliseconds;
-                const mustHoldChange = entry.alive && !entry.stopped && !entry.gate.frozen && entry.node.ready
+                const mustHoldChange = entry.alive && !entry.stopped && !entry.gate.frozen && entry.node.isReady
                     && isSettled;
                 this.requireInvariant(
                     !mustHoldChange || heldVersion >= version,
--- a/__tests__/support/fleet.ts
+++ b/__tests__/support/fleet.ts
@@ -104,7 +104,7 @@
 
 const hasAllReports = (entry: Entry, endpoints: number): boolean => {
     const known = entry.node.table.all().filter(endpoint => endpoint.report !== undefined);
-    return entry.node.accepting && known.length === endpoints;
+    return entry.node.isAccepting && known.length === endpoints;
 };
 
 const closeAll = async (
--- a/__tests__/support/mechanisms.ts
+++ b/__tests__/support/mechanisms.ts
@@ -26,8 +26,8 @@
     claims: (entry: FakeEntry): void => {
         const { claims } = entry.node;
         override(claims, "claim", () => Promise.resolve({ type: "Held", claim: emptyClaim() }));
-        override(claims, "keep", () => Promise.resolve());
-        override(claims, "giveUp", () => Promise.resolve());
+        override(claims, "storeOutcome", () => Promise.resolve());
+        override(claims, "releaseUnsent", () => Promise.resolve());
     },
     /** Takes over the claims of unresponsive holders, as with an expired lease. */
     claimsStayWithHolder: (entry: FakeEntry): void => {
@@ -36,7 +36,7 @@
     keyHistory: (entry: FakeEntry): void => {
         override(
             entry.node.claims,
-            "refuseInOutage",
+            "outageFailure",
             () => Promise.resolve(new RequestFailure(FailureKind.PlatformDown, Execution.NotRun, "outage", 1)),
         );
     },
@@ -49,10 +49,10 @@
     },
     homeLease: (entry: FakeEntry): void => {
         override(entry.node.homes, "leaseEnd", () => Infinity);
-        override(entry.node.guard, "fresh", () => true);
+        override(entry.node.guard, "isFresh", () => true);
     },
     handOver: (entry: FakeEntry): void => {
-        override(entry.node.homes, "mineSince", () => -Infinity);
+        override(entry.node.homes, "homeSince", () => -Infinity);
     },
     suspicion: (entry: FakeEntry): void => {
         override(entry.node.table, "suspect", () => undefined);
@@ -74,18 +74,18 @@
         );
     },
     provisionalOuts: (entry: FakeEntry): void => {
-        override(entry.node.operations, "spread", () => undefined);
+        override(entry.node.operations, "applyOuts", () => undefined);
     },
     restrictions: (entry: FakeEntry): void => {
         override(entry.node.restrictions, "forbids", () => false);
     },
     pauseGuard: (entry: FakeEntry): void => {
-        override(entry.node.guard, "fresh", () => true);
+        override(entry.node.guard, "isFresh", () => true);
     },
     versionsOnlyRise: (entry: FakeEntry): void => {
         const { configuration } = entry.node;
         const objects = (configuration as unknown as { objects: Map<string, object>; }).objects;
-        override(configuration, "take", (object: { kind: string; name: string; }) => {
+        override(configuration, "applyObject", (object: { kind: string; name: string; }) => {
             objects.set(`${object.kind}/${object.name}`, object);
             return true;
         });
--- a/src/adapters/callers/callerServer.ts
+++ b/src/adapters/callers/callerServer.ts
@@ -57,13 +57,13 @@
     log: PartLog,
 ): Promise<void> => {
     const exchange = openExchange(node, request, response);
-    if (!node.accepting) {
+    if (!node.isAccepting) {
         response.setHeader("connection", "close");
     }
     node.activeRequests++;
     node.metrics.count("requests_total");
     try {
-        if (!node.ready) {
+        if (!node.isReady) {
             const detail = "this entry has not loaded its configuration yet";
             throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, notReadyRetryAfterSeconds);
         }
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -101,8 +101,8 @@
             self: this.self,
             dataCentre,
             channel: this.peerSocket,
-            endpoints: new EndpointClient(wire, clock),
-            memory: dependencies.memory,
+            endpointPort: new EndpointClient(wire, clock),
+            memoryPort: dependencies.memory,
             policy: settings.placement.policy,
             publishesPlacements: settings.placement.shared,
             processors: instance.processors,
@@ -113,20 +113,20 @@
             coldLimits: () => this.settings.cold,
             knownRevisions: () => this.knownRevisions(),
             readAges: () => this.readAges(),
-            isStoreReachable: () => Object.values(this.followers).every(({ reads }) => reads),
-            stop: () => this.plannedStop,
+            isStoreReachable: () => Object.values(this.followers).every(({ isStoreReachable }) => isStoreReachable),
+            plannedStop: () => this.plannedStop,
         });
         const { peers, membership } = this.core;
         this.peerStateClient = new PeerStateClient(clock, log("peers"));
         const peerState = new PeerState(peers, this.peerStateClient, membership, dataCentre, random);
-        const patience = this.peerTimeout();
+        const peerWaitTimeout = this.peerTimeout();
         const followerDependencies = {
             store: dependencies.store,
             peers: peerState,
             clock,
             random,
             log: log("store"),
-            peerWaitTimeout: patience,
+            peerWaitTimeout,
         };
         const { Configuration, Endpoints, DataCentresOut } = StateKind;
         this.followers = {
@@ -163,7 +163,7 @@
     }
 
     /** Whether this entry should receive callers. */
-    get ready(): boolean {
+    get isReady(): boolean {
         return this.core.forwarder.isReady && this.plannedStop === undefined;
     }
 
@@ -175,7 +175,7 @@
     /** Starts listening and following the store; resolves with the actual addresses. */
     async start(): Promise<{ callers: string; readiness: string; peers: string; metrics: string; }> {
         const { listen, instance } = this.settings;
-        this.readinessListener = await serveReadiness(listen.readiness, () => this.ready);
+        this.readinessListener = await serveReadiness(listen.readiness, () => this.isReady);
         this.metricsListener = await serveMetrics(listen.metrics, () => this.core.metrics.text(this.gauges()));
         this.peerStateListener = await listenOnSamePort(
             listen.peers,
@@ -339,13 +339,13 @@
     private gauges(): Record<string, number> {
         const { user, system } = process.cpuUsage();
         return {
-            ready: this.ready ? 1 : 0,
+            ready: this.isReady ? 1 : 0,
             active_requests: this.core.forwarder.activeCount,
             caller_connections: this.callerPort.connectionCount,
             configuration_version: this.configuration.version,
             ...this.storeAgeGauges(),
             living_entries: this.core.peers.livingCount,
-            counted_entries: this.core.membership.size,
+            counted_entries: this.core.membership.budgetDivisor,
             limited_endpoints: this.core.limits.count,
             resident_memory_bytes: process.memoryUsage.rss(),
             processor_milliseconds_total: Math.round((user + system) / 1_000),
--- a/src/adapters/operatorServer.ts
+++ b/src/adapters/operatorServer.ts
@@ -49,12 +49,12 @@
     instance: node.identity.id,
     incarnation: node.incarnation,
     dataCentre: node.identity.dataCentre,
-    ready: node.ready,
-    accepting: node.accepting,
+    ready: node.isReady,
+    accepting: node.isAccepting,
     platformDown: node.health.isDown,
     configurationRevision: node.configuration.revision,
     activeRequests: node.activeRequests,
-    waitingRequests: node.placer.waitingCount(),
+    waitingRequests: node.scheduler.waitingCount(),
     provisionalOuts: node.restrictions.pending(),
     peers: node.membership.peers().map(peer => ({
         id: peer.record.id,
@@ -76,7 +76,7 @@
 const sendMetrics = (node: EntryNode, response: ServerResponse): void => {
     const text = node.metrics.text({
         active_requests: node.activeRequests,
-        waiting_requests: node.placer.waitingCount(),
+        waiting_requests: node.scheduler.waitingCount(),
         configuration_revision: node.configuration.revision,
         platform_down: node.health.isDown ? 1 : 0,
         engine_holdings: node.holdings.count,
@@ -112,7 +112,7 @@
         return;
     }
     if (path === "/readyz") {
-        sendJson(response, node.accepting ? 200 : 503, { ready: node.ready, accepting: node.accepting });
+        sendJson(response, node.isAccepting ? 200 : 503, { ready: node.isReady, accepting: node.isAccepting });
         return;
     }
     if (path === "/metrics") {
--- a/src/commands/quickstart.ts
+++ b/src/commands/quickstart.ts
@@ -54,7 +54,7 @@
 };
 
 const endpointsKnown = (entry: Entry): boolean =>
-    entry.node.accepting && entry.node.table.all().some(endpoint => endpoint.report !== undefined);
+    entry.node.isAccepting && entry.node.table.all().some(endpoint => endpoint.report !== undefined);
 
 const greeting = (entry: Entry): string =>
     `dandelionramp serves at http://${entry.callers.address}; operators at http://${entry.operators.address}. Try:\n\n`
--- a/src/core/budgets/coldBudget.ts
+++ b/src/core/budgets/coldBudget.ts
@@ -16,7 +16,7 @@
 
 /** The entries that share an allowance. */
 export interface SharingEntries {
-    readonly size: number;
+    readonly budgetDivisor: number;
     /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
 }
@@ -44,9 +44,9 @@
     allows(endpoint: string, requestsPerSecond: number): boolean {
         const { factor, extra } = this.limits();
         const allowance = usableAllowanceRatio * (requestsPerSecond * factor + extra);
-        const { size } = this.entries;
-        const share = allowance >= size
-            ? allowance / size
+        const { budgetDivisor } = this.entries;
+        const share = allowance >= budgetDivisor
+            ? allowance / budgetDivisor
             : Number(this.entries.rank(endpoint) < Math.floor(allowance));
         return this.sends.count(endpoint) + 1 <= share;
     }
--- a/src/core/budgets/endpointLimits.ts
+++ b/src/core/budgets/endpointLimits.ts
@@ -32,7 +32,7 @@
 /** The entries that share a limit. */
 export interface KnownEntries {
     /** Number of known entries, this one included. */
-    readonly known: number;
+    readonly knownCount: number;
     /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
 }
@@ -136,8 +136,8 @@
         const requestCount = Math.floor(
             allowance === Allowance.Named ? advertised : usableExcessRatio * (excessFactor * advertised + excessExtra),
         );
-        const { known } = this.entries;
-        return Math.floor(requestCount / known) + Number(this.entries.rank(endpoint) < requestCount % known);
+        const { knownCount } = this.entries;
+        return Math.floor(requestCount / knownCount) + Number(this.entries.rank(endpoint) < requestCount % knownCount);
     }
 
     private storeLimit(endpoint: string, limit: ReceivedLimit): void {
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -174,7 +174,7 @@
     }
 
     /** Releases a claim whose call was not sent, so that a repeat can run. */
-    async giveUp(claim: HeldClaim): Promise<void> {
+    async releaseUnsent(claim: HeldClaim): Promise<void> {
         this.release(claim.value.nonce);
         this.seenClaimNames.delete(claim.name);
         try {
@@ -190,7 +190,7 @@
      * Stores the response for repeats; an undefined `answer` marks the outcome as lost. Resolves once the claim is
      * written or the timeout is over. Writing then continues in the background.
      */
-    async keep(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
+    async storeOutcome(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
         const value: ClaimValue = { ...claim.value, ...this.encodeOutcome(answer) };
         const written = this.writeOutcome(claim, value).finally(() => this.runningNonces.delete(claim.value.nonce));
         await withTimeoutOrUndefined(
@@ -273,7 +273,7 @@
     }
 
     /** Builds the failure of a request whose claim can't be written. */
-    private async refuseInOutage(name: string): Promise<RequestFailure> {
+    private async outageFailure(name: string): Promise<RequestFailure> {
         const histories = this.dependencies.membership.peers().map(async peer => {
             try {
                 return await this.dependencies.peers.keyHistory(peer.record.address, name);
@@ -349,7 +349,7 @@
             // The next write has the same expected version. If the lost write succeeded, the next one conflicts with it
             // and returns the stored claim.
             if (this.dependencies.clock.now() >= retryUntil) {
-                throw await this.refuseInOutage(name);
+                throw await this.outageFailure(name);
             }
             await this.dependencies.clock.sleep(createRetryDelayMilliseconds);
         }
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -56,7 +56,7 @@
     merge(page: ObjectPage): void {
         let changes = 0;
         for (const object of page.objects) {
-            if (this.take(object)) {
+            if (this.applyObject(object)) {
                 changes++;
             }
         }
@@ -135,7 +135,7 @@
         return serving?.state === ServingState.Out;
     }
 
-    private take(object: StoredObject): boolean {
+    private applyObject(object: StoredObject): boolean {
         const key = objectKey(object.kind, object.name);
         const held = this.objects.get(key);
         if (held && held.version >= object.version) {
--- a/src/core/configuration/stateFollower.ts
+++ b/src/core/configuration/stateFollower.ts
@@ -116,7 +116,7 @@
     }
 
     /** Whether the last call to the store succeeded. */
-    get reads(): boolean {
+    get isStoreReachable(): boolean {
         return this.failureCount === 0;
     }
 
--- a/src/core/entryCore.ts
+++ b/src/core/entryCore.ts
@@ -33,8 +33,8 @@
     self: PeerIdentity;
     dataCentre: string;
     channel: PeerChannelPort;
-    endpoints: EndpointPort;
-    memory: MemoryPort;
+    endpointPort: EndpointPort;
+    memoryPort: MemoryPort;
     policy: PlacementPolicy;
     /** Whether entries publish their placements to one another. */
     publishesPlacements: boolean;
@@ -49,7 +49,7 @@
     /** Whether the store responds to this entry. */
     isStoreReachable: () => boolean;
     /** The planned stop; undefined while this entry isn't stopping. */
-    stop: () => PlannedStop | undefined;
+    plannedStop: () => PlannedStop | undefined;
 }
 
 /** The components of one entry that decide on requests. */
@@ -83,20 +83,20 @@
             publishesLoads: dependencies.publishesPlacements,
             self,
             dataCentre,
-            known: dependencies.knownRevisions,
+            knownRevisions: dependencies.knownRevisions,
             readAges: dependencies.readAges,
-            reads: dependencies.isStoreReachable,
-            inProgress: () => this.forwarder.activeRequestIds,
+            isStoreReachable: dependencies.isStoreReachable,
+            activeRequestIds: () => this.forwarder.activeRequestIds,
             processors: dependencies.processors,
-            places: () =>
-                dependencies.publishesPlacements && this.forwarder.isReady && dependencies.stop() === undefined,
+            mayPlaceForOthers: () =>
+                dependencies.publishesPlacements && this.forwarder.isReady && dependencies.plannedStop() === undefined,
             limits: () => this.limits.snapshot(),
             onLimits: advertised => this.limits.merge(advertised),
             onOutcome: (endpoint, fate) => this.applyPeerOutcome(endpoint, fate),
             onPlacementAsked: (from, question) => placementServer.answer(from, question),
             onPlacementAnswered: answer => this.placementClient.receiveAnswer(answer),
         });
-        this.failures.publish = (update, connectionRefused) => this.peers.publishOutcome(update, connectionRefused);
+        this.failures.publish = (update, isConnectionRefused) => this.peers.publishOutcome(update, isConnectionRefused);
         this.loads.serviceOf = endpoint => this.directory.find(endpoint)?.record.service;
         this.loads.propagationDelay = () => this.peers.propagationDelay;
         this.membership = new Membership(this.peers, self.id);
@@ -131,19 +131,19 @@
             log: log("request"),
             configuration: this.configuration,
             directory: this.directory,
-            endpointPort: dependencies.endpoints,
-            memoryPort: dependencies.memory,
+            endpointPort: dependencies.endpointPort,
+            memoryPort: dependencies.memoryPort,
             placementClient: this.placementClient,
             loadEstimator: this.loads,
             failureTracker: this.failures,
-            retryBudget: new SharedRetryBudget(clock, dependencies.retryLimits, () => this.membership.size),
+            retryBudget: new SharedRetryBudget(clock, dependencies.retryLimits, () => this.membership.budgetDivisor),
             coldBudget,
             endpointLimits: this.limits,
             metrics: this.metrics,
             entryId: self.id,
             dataCentre,
             isStoreReachable: dependencies.isStoreReachable,
-            plannedStop: dependencies.stop,
+            plannedStop: dependencies.plannedStop,
         });
     }
 
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -83,7 +83,7 @@
     readonly homes: Homes;
     readonly coldStart: ColdStart;
     readonly suspects: Suspects;
-    readonly placer: RequestScheduler;
+    readonly scheduler: RequestScheduler;
     readonly holdings: Holdings;
     readonly generations: Generations;
     readonly claims: Claims;
@@ -112,7 +112,7 @@
         this.homes = this.createHomes();
         this.coldStart = this.createColdStart();
         this.suspects = new Suspects(ports.clock);
-        this.placer = this.createPlacer();
+        this.scheduler = this.createScheduler();
         this.holdings = this.createHoldings();
         this.retries = new RetryBudget(ports.clock);
         this.generations = this.createGenerations();
@@ -122,13 +122,13 @@
     }
 
     /** Whether this entry has a whole configuration and an instance list. */
-    get ready(): boolean {
+    get isReady(): boolean {
         return this.configuration.loaded && this.membership.instances().length > 0;
     }
 
     /** Whether load balancers should send requests to this entry: it is ready and not stopping. */
-    get accepting(): boolean {
-        return this.ready && this.state === InstanceState.Live;
+    get isAccepting(): boolean {
+        return this.isReady && this.state === InstanceState.Live;
     }
 
     /** Starts the background tasks. */
@@ -145,7 +145,7 @@
         this.runTask("holding reclamation", this.holdings.reclaim(signal));
         this.runTask("expired claims", this.claims.collectExpired(signal));
         this.runTask("pause guard", this.guard.monitor(signal));
-        this.runTask("placement queue", this.placer.wakeOnChange(signal));
+        this.runTask("placement queue", this.scheduler.wakeOnChange(signal));
         this.runTask("provisional outs", this.operations.writeProvisional(signal));
         timeline.record("entry", "started", undefined, `${this.identity.id}/${this.incarnation}`);
     }
@@ -203,7 +203,7 @@
 
     /** Applies the provisional outs and the suspects of a peer's heartbeat. */
     applyHeartbeat(heartbeat: Heartbeat): void {
-        this.operations.spread(heartbeat.provisionalOuts);
+        this.operations.applyOuts(heartbeat.provisionalOuts);
         this.suspects.merge(heartbeat.suspects);
     }
 
@@ -263,7 +263,7 @@
 
     private createHomes(): Homes {
         const { health, membership, self } = this;
-        const serving = () => this.accepting;
+        const serving = () => this.isAccepting;
         return new Homes({ ...this.ports, health, membership, self, isServing: serving, log: this.ports.log("homes") });
     }
 
@@ -275,11 +275,11 @@
             self: this.identity.id,
             findEndpoint: id => this.table.get(id),
             profileFor: endpoint => this.profileFor(endpoint),
-            isStateFresh: () => this.guard.fresh(),
+            isStateFresh: () => this.guard.isFresh(),
         });
     }
 
-    private createPlacer(): RequestScheduler {
+    private createScheduler(): RequestScheduler {
         const { table, coldStart, suspects, guard } = this;
         const router = new Router(this.ports.random);
         return new RequestScheduler({
@@ -289,7 +289,7 @@
             suspects,
             guard,
             router,
-            mayReceiveWork: this.allowed,
+            mayReceiveWork: this.mayReceiveWork,
         });
     }
 
@@ -299,12 +299,12 @@
     }
 
     private createGenerations(): Generations {
-        const { placer, holdings, table, suspects, retries, guard, self } = this;
-        const gangs = new Gangs({ ...this.ports, table, holdings, guard, self, mayReceiveWork: this.allowed });
+        const { scheduler, holdings, table, suspects, retries, guard, self } = this;
+        const gangs = new Gangs({ ...this.ports, table, holdings, guard, self, mayReceiveWork: this.mayReceiveWork });
         const log = this.ports.log("generation");
         return new Generations({
             ...this.ports,
-            scheduler: placer,
+            scheduler,
             gangs,
             holdings,
             table,
@@ -321,8 +321,8 @@
     }
 
     private createServiceCalls(): ServiceCalls {
-        const { placer, claims, retries, table } = this;
-        return new ServiceCalls({ ...this.ports, scheduler: placer, claims, retries, table });
+        const { scheduler, claims, retries, table } = this;
+        return new ServiceCalls({ ...this.ports, scheduler, claims, retries, table });
     }
 
     private createOperations(): Operations {
@@ -331,7 +331,7 @@
         return new Operations({ ...this.ports, health, configuration, restrictions, membership, log });
     }
 
-    private readonly allowed = (endpoint: Endpoint): boolean => !this.restrictions.forbids(endpoint.record);
+    private readonly mayReceiveWork = (endpoint: Endpoint): boolean => !this.restrictions.forbids(endpoint.record);
 
     /** Fetches the current state from the platform and the peers. Returns false if none of them responds. */
     private async refresh(since: Milliseconds): Promise<boolean> {
--- a/src/core/forwarding/forwarder.ts
+++ b/src/core/forwarding/forwarder.ts
@@ -20,7 +20,7 @@
 
     /** Whether requests can be placed, which takes a configuration and the list of endpoints. */
     get isReady(): boolean {
-        return this.dependencies.configuration.routes !== undefined && this.dependencies.directory.ready;
+        return this.dependencies.configuration.routes !== undefined && this.dependencies.directory.isReady;
     }
 
     /** Number of requests in progress. */
@@ -51,7 +51,7 @@
         const { configuration, directory, random, retryBudget, metrics } = this.dependencies;
         await this.waitUntilReady(exchange);
         const admission = admit(exchange.head, configuration.routes, random);
-        if (!directory.ready) {
+        if (!directory.isReady) {
             const detail = "this entry has not received its list of endpoints yet";
             throw new RequestFailure(FailureKind.NoEndpoint, Execution.NotRun, detail, endpointsUnknownRetrySeconds);
         }
--- a/src/core/gangs.ts
+++ b/src/core/gangs.ts
@@ -140,7 +140,7 @@
     }
 
     private isUsable(gang: readonly Endpoint[]): boolean {
-        return this.dependencies.guard.fresh()
+        return this.dependencies.guard.isFresh()
             && gang.every(member =>
                 this.dependencies.mayReceiveWork(member) && this.dependencies.table.trust(member).type === "Warm"
             );
--- a/src/core/generation.ts
+++ b/src/core/generation.ts
@@ -495,7 +495,7 @@
     private checkDeadline(work: Work, progress: RequestProgress): void {
         const execution = progress.mayHaveRun ? Execution.Ran : Execution.NotRun;
         if (work.signal.aborted) {
-            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the caller has disconnected");
+            throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the caller has left");
         }
         if (work.deadline.expired) {
             throw new RequestFailure(FailureKind.DeadlineExceeded, execution, "the deadline has expired", 1);
--- a/src/core/homes.ts
+++ b/src/core/homes.ts
@@ -101,7 +101,7 @@
         if (this.homeMemberName(endpoint) !== memberName(this.dependencies.self)) {
             return false;
         }
-        return now < this.leaseEnd() && now >= this.mineSince(endpoint) + handoverDelayMilliseconds;
+        return now < this.leaseEnd() && now >= this.homeSince(endpoint) + handoverDelayMilliseconds;
     }
 
     /** Confirms the table, adds this entry and removes unresponsive members, periodically until `signal` aborts. */
@@ -151,7 +151,7 @@
     }
 
     /** When this entry became the endpoint's home in an uninterrupted sequence of table versions; Infinity if it isn't. */
-    private mineSince(endpoint: string): Milliseconds {
+    private homeSince(endpoint: string): Milliseconds {
         let since = Infinity;
         for (const table of this.recentTables.slice().reverse()) {
             if (this.homeMemberName(endpoint, table) !== memberName(this.dependencies.self)) {
--- a/src/core/membership/endpointDirectory.ts
+++ b/src/core/membership/endpointDirectory.ts
@@ -22,7 +22,7 @@
     /** When the endpoint stops being cold, on the local clock. */
     coldUntil: Milliseconds;
     /** When to drop the endpoint, whose record expired during a store outage; undefined while it has a record. */
-    dropAt: Milliseconds | undefined;
+    expiresAt: Milliseconds | undefined;
 }
 
 /** Endpoints from the store, with a cache of the usable ones of each service. */
@@ -57,7 +57,7 @@
     constructor(private readonly clock: Clock, private readonly log: PartLog) {}
 
     /** Whether a first snapshot of the endpoints has been applied. */
-    get ready(): boolean {
+    get isReady(): boolean {
         return this.isLoaded;
     }
 
@@ -143,7 +143,7 @@
         }
         const previous = this.endpointById.get(id);
         if (previous && previous.revision === revision) {
-            previous.dropAt = undefined;
+            previous.expiresAt = undefined;
             return;
         }
         if (previous?.record.state !== record.state || previous.record.incarnation !== record.incarnation) {
@@ -156,7 +156,7 @@
             });
         }
         const coldUntil = record.coldFor > 0 ? this.clock.now() + record.coldFor : 0;
-        this.endpointById.set(id, { record, revision, coldUntil, dropAt: undefined });
+        this.endpointById.set(id, { record, revision, coldUntil, expiresAt: undefined });
     }
 
     private handleMissingRecord(id: string, wasAway: boolean): void {
@@ -165,11 +165,11 @@
             return;
         }
         if (wasAway && endpoint.record.state === EndpointState.Ready) {
-            endpoint.dropAt ??= this.clock.now() + expiredRecordGracePeriod;
+            endpoint.expiresAt ??= this.clock.now() + expiredRecordGracePeriod;
             this.log.info("An endpoint's record lapsed while the store was away.", { endpoint: id });
             return;
         }
-        if (endpoint.dropAt === undefined) {
+        if (endpoint.expiresAt === undefined) {
             this.endpointById.delete(id);
             this.log.info("An endpoint is gone.", { endpoint: id });
         }
@@ -177,8 +177,8 @@
 
     private dropExpired(): void {
         const now = this.clock.now();
-        for (const [id, { dropAt }] of this.endpointById) {
-            if (dropAt !== undefined && now >= dropAt) {
+        for (const [id, { expiresAt }] of this.endpointById) {
+            if (expiresAt !== undefined && now >= expiresAt) {
                 this.endpointById.delete(id);
                 this.log.info("An endpoint is gone.", { endpoint: id });
             }
@@ -203,8 +203,8 @@
     private invalidateCache(): void {
         this.usableByService = new Map();
         this.nextExpiryAt = Infinity;
-        for (const { dropAt } of this.endpointById.values()) {
-            this.nextExpiryAt = Math.min(this.nextExpiryAt, dropAt ?? Infinity);
+        for (const { expiresAt } of this.endpointById.values()) {
+            this.nextExpiryAt = Math.min(this.nextExpiryAt, expiresAt ?? Infinity);
         }
     }
 
--- a/src/core/membership/heartbeatSender.ts
+++ b/src/core/membership/heartbeatSender.ts
@@ -37,7 +37,7 @@
     dataCentre: string;
     placers: () => PlacerSet;
     /** Identifiers of this entry's requests in progress. */
-    inProgress: () => string[];
+    activeRequestIds: () => string[];
     /** This entry's status, with the time until its next heartbeat. */
     status: (nextIn: Milliseconds) => PeerStatus;
 }
@@ -51,18 +51,18 @@
 
     /** Sends one heartbeat and returns the time until the next. `isWatcher`: all entries depend on this one's store watch. */
     send(isWatcher: boolean): Milliseconds {
-        const { clock, sender, registry, inProgress } = this.dependencies;
+        const { clock, sender, registry, activeRequestIds } = this.dependencies;
         const { everyone, self } = this.dependencies.placers();
         const defaultInterval = everyone || self ? heartbeatInterval : rareHeartbeatInterval;
         const interval = isWatcher ? watcherHeartbeatInterval : defaultInterval;
         if (this.initialHeartbeatsSent < initialHeartbeatCount) {
             this.initialHeartbeatsSent++;
-            sender.sendToAll(this.createHeartbeat(interval, inProgress()));
+            sender.sendToAll(this.createHeartbeat(interval, activeRequestIds()));
             return interval;
         }
-        sender.sendToOwnGroup(this.createHeartbeat(interval, everyone ? inProgress() : undefined), 0);
+        sender.sendToOwnGroup(this.createHeartbeat(interval, everyone ? activeRequestIds() : undefined), 0);
         if (!everyone) {
-            sender.sendTo(this.dependentAddresses(), [this.createHeartbeat(interval, inProgress())]);
+            sender.sendTo(this.dependentAddresses(), [this.createHeartbeat(interval, activeRequestIds())]);
         }
         const remoteInterval = Math.max(
             minimumRemoteHeartbeatInterval,
@@ -78,7 +78,7 @@
     /** Creates a heartbeat message; the defaults are for the response to a greeting. */
     createHeartbeat(
         nextIn = heartbeatInterval,
-        inProgress: string[] | undefined = this.dependencies.inProgress(),
+        inProgress: string[] | undefined = this.dependencies.activeRequestIds(),
     ): PeerUpdate {
         return { type: "Alive", inProgress, status: this.dependencies.status(nextIn) };
     }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -25,7 +25,7 @@
     constructor(private readonly peers: Peers, private readonly self: string) {}
 
     /** Divisor of budgets. Includes unresponsive entries, since a partitioned entry may go on sending to endpoints. */
-    get size(): number {
+    get budgetDivisor(): number {
         const entryCount = Math.max(
             minimumEntryCount,
             this.peers.livingCount + startingEntryAllowance,
@@ -35,8 +35,8 @@
     }
 
     /** Number of known entries, this one included; for budgets that may be exceeded briefly while an entry is starting. */
-    get known(): number {
-        return this.peers.hasFoundEntries ? this.peers.ids().length + 1 : this.size;
+    get knownCount(): number {
+        return this.peers.hasFoundEntries ? this.peers.ids().length + 1 : this.budgetDivisor;
     }
 
     /** Zero-based rank of this entry for `key` by rendezvous hashing. Entries with the same membership agree on the order. */
--- a/src/core/membership/peers.ts
+++ b/src/core/membership/peers.ts
@@ -39,16 +39,16 @@
     self: PeerIdentity;
     dataCentre: string;
     /** Revision of the last change of each kind of stored objects that this entry has applied. */
-    known: () => KnownRevisions;
+    knownRevisions: () => KnownRevisions;
     /** How long ago the store last answered this entry, by kind. */
     readAges: () => ReadAges;
     /** Whether the store answers this entry. */
-    reads: () => boolean;
+    isStoreReachable: () => boolean;
     /** Identifiers of this entry's requests in progress. */
-    inProgress: () => string[];
+    activeRequestIds: () => string[];
     /** Processor cores of this entry's instance, and whether this entry is able to choose endpoints for others. */
     processors?: number;
-    places?: () => boolean;
+    mayPlaceForOthers?: () => boolean;
     /** The limits that endpoints have advertised to this entry, and a callback for those received from another entry. */
     limits?: () => AdvertisedLimit[];
     onLimits?: (limits: readonly AdvertisedLimit[]) => void;
@@ -85,7 +85,7 @@
             sender: this.sender,
             dataCentre,
             placers,
-            inProgress: dependencies.inProgress,
+            activeRequestIds: dependencies.activeRequestIds,
             status: nextIn => this.ownStatus(nextIn),
         });
         if (dependencies.publishesLoads) {
@@ -120,18 +120,18 @@
     }
 
     /** Whether any placer is in back-off. */
-    placersRest(): boolean {
+    hasUnresponsivePlacers(): boolean {
         const { others, asked } = this.roster.current();
         return asked.length < others.length;
     }
 
     /** Puts a placer that didn't respond in back-off. */
-    notePlacerSilent(id: string): void {
+    recordPlacerTimeout(id: string): void {
         this.roster.recordTimeout(id);
     }
 
     /** Asks the placer at `address` for the placement of a request. */
-    askPlacement(address: string, question: PlacementQuestion): void {
+    requestPlacement(address: string, question: PlacementQuestion): void {
         this.sender.sendTo([address], [{ type: "PlacementAsked", question }]);
     }
 
@@ -193,8 +193,8 @@
 
     /** Publishes that the store has answered this entry, with the delta if it is small. */
     publishStoreRead(change: StateDelta | undefined): void {
-        const { known, readAges } = this.dependencies;
-        this.sender.broadcast({ type: "StoreRead", known: known(), readAges: readAges(), change }, noBatching);
+        const { knownRevisions, readAges } = this.dependencies;
+        this.sender.broadcast({ type: "StoreRead", known: knownRevisions(), readAges: readAges(), change }, noBatching);
     }
 
     /**
@@ -216,12 +216,12 @@
     }
 
     private ownStatus(nextIn: Milliseconds): PeerStatus {
-        const { known, readAges, reads, dataCentre } = this.dependencies;
+        const { knownRevisions, readAges, isStoreReachable, dataCentre } = this.dependencies;
         const { processors, places } = this.ownCandidacy();
         return {
-            known: known(),
+            known: knownRevisions(),
             readAges: readAges(),
-            reads: reads(),
+            reads: isStoreReachable(),
             dataCentre,
             signInterval: nextIn,
             processors,
@@ -231,8 +231,8 @@
     }
 
     private ownCandidacy(): PlacerCandidate {
-        const { self, dataCentre, processors = 1, places = () => true } = this.dependencies;
-        return { id: self.id, address: self.address, dataCentre, processors, places: places() };
+        const { self, dataCentre, processors = 1, mayPlaceForOthers = () => true } = this.dependencies;
+        return { id: self.id, address: self.address, dataCentre, processors, places: mayPlaceForOthers() };
     }
 
     private candidates(): PlacerCandidate[] {
--- a/src/core/operations.ts
+++ b/src/core/operations.ts
@@ -97,7 +97,7 @@
     async takeOut(kind: ProvisionalOut["kind"], name: string): Promise<ChangeOutcome> {
         const out: ProvisionalOut = { kind, name, outId: randomIdentifier(this.dependencies.random) };
         // The out takes effect on this entry and its peers before it is stored, so a slow platform doesn't delay it.
-        this.spread([out]);
+        this.applyOuts([out]);
         const until = this.retryDeadline();
         while (true) {
             const outcome = await this.storeOut(out);
@@ -127,7 +127,7 @@
     }
 
     /** Applies outs from an operator or a peer and sends new ones to the peers. */
-    spread(outs: readonly ProvisionalOut[]): void {
+    applyOuts(outs: readonly ProvisionalOut[]): void {
         if (this.dependencies.restrictions.add(outs)) {
             for (const out of outs) {
                 this.dependencies.timeline.record(
--- a/src/core/pauseGuard.ts
+++ b/src/core/pauseGuard.ts
@@ -31,7 +31,7 @@
     }
 
     /** Whether this process's state is fresh, so that sends are allowed. Call this in the same synchronous step as a send. */
-    fresh(): boolean {
+    isFresh(): boolean {
         return !this.isRefreshing && this.dependencies.clock.now() - this.lastTickAt < pauseThresholdMilliseconds;
     }
 
--- a/src/core/placement/failureTracker.ts
+++ b/src/core/placement/failureTracker.ts
@@ -54,7 +54,7 @@
      * Receives each result that this entry observed. Entries share results because each of hundreds of entries observes
      * only a few.
      */
-    publish: (update: OutcomeUpdate, connectionRefused: boolean) => void = () => {};
+    publish: (update: OutcomeUpdate, isConnectionRefused: boolean) => void = () => {};
     private readonly recordByEndpoint = new Map<string, FailureRecord>();
     private recentLosses: EndpointLoss[] = [];
     private readonly suspectUntilByDataCentre = new Map<string, Milliseconds>();
--- a/src/core/placement/placementClient.ts
+++ b/src/core/placement/placementClient.ts
@@ -45,10 +45,10 @@
     /** Placers to ask now, in this order; empty where this entry chooses itself. */
     placersToAsk(): readonly PlacerCandidate[];
     /** Whether some placers did not answer recently. */
-    placersRest(): boolean;
+    hasUnresponsivePlacers(): boolean;
     /** Records that a placer did not answer. */
-    notePlacerSilent(id: string): void;
-    askPlacement(address: string, question: PlacementQuestion): void;
+    recordPlacerTimeout(id: string): void;
+    requestPlacement(address: string, question: PlacementQuestion): void;
 }
 
 /** Dependencies of {@link PlacementClient}. */
@@ -209,13 +209,13 @@
         excludedEndpoint: string | undefined,
     ): Promise<PlacerAnswer | undefined> {
         const { peers, log } = this.dependencies;
-        const limit = peers.placersRest() ? 1 : maximumPlacersAsked;
+        const limit = peers.hasUnresponsivePlacers() ? 1 : maximumPlacersAsked;
         for (const { id, address } of peers.placersToAsk().slice(0, limit)) {
             const answer = await this.askPlacer(address, request, excludedEndpoint);
             if (answer && answer.type !== "Declined") {
                 return { placer: id, answer };
             }
-            peers.notePlacerSilent(id);
+            peers.recordPlacerTimeout(id);
             log.info("An entry that chooses endpoints gave no answer.", {
                 requestId: request.id,
                 placer: id,
@@ -243,7 +243,7 @@
                 resolve(answer);
             };
             this.pendingAnswers.set(serial, finish);
-            peers.askPlacement(address, this.buildQuestion(serial, request, excludedEndpoint));
+            peers.requestPlacement(address, this.buildQuestion(serial, request, excludedEndpoint));
         });
     }
 
--- a/src/core/requestScheduler.ts
+++ b/src/core/requestScheduler.ts
@@ -133,7 +133,7 @@
     /** Rejects a request that can't be served before its deadline, with the time after which to retry. */
     private rejectIfUnservable(work: Work, predictedQueueWait: number, startedAt: number): void {
         if (work.signal.aborted) {
-            throw new RequestFailure(FailureKind.DeadlineExceeded, Execution.NotRun, "the caller has disconnected");
+            throw new RequestFailure(FailureKind.DeadlineExceeded, Execution.NotRun, "the caller has left");
         }
         if (this.dependencies.suspects.isRejected(work.fingerprint)) {
             throw new RequestFailure(
@@ -192,7 +192,7 @@
     }
 
     private tryPlaceLocally(work: Work, avoidedEndpoints: ReadonlySet<string>): Placement | undefined {
-        if (!this.dependencies.guard.fresh()) {
+        if (!this.dependencies.guard.isFresh()) {
             return undefined;
         }
         const candidates = this.findCandidates(work, avoidedEndpoints);
@@ -275,7 +275,7 @@
         work: Work,
         avoidedEndpoints: ReadonlySet<string>,
     ): Promise<Placement | undefined> {
-        if (!this.dependencies.guard.fresh()) {
+        if (!this.dependencies.guard.isFresh()) {
             return undefined;
         }
         const candidates = this.findCandidates(work, avoidedEndpoints);
@@ -337,7 +337,7 @@
     }
 
     private maySend(endpoint: Endpoint, permit: Permit | undefined): boolean {
-        if (!this.dependencies.guard.fresh() || !this.dependencies.mayReceiveWork(endpoint)) {
+        if (!this.dependencies.guard.isFresh() || !this.dependencies.mayReceiveWork(endpoint)) {
             return false;
         }
         // The process may have been paused after the placement, and the endpoint may have become cold meanwhile.
--- a/src/core/serviceCall.ts
+++ b/src/core/serviceCall.ts
@@ -89,15 +89,15 @@
     private async runClaimed(call: ServiceCall, claim: HeldClaim): Promise<ServiceResponse> {
         try {
             const response = await this.sendWithRetries(call, () => this.dependencies.claims.maySend(claim));
-            await this.dependencies.claims.keep(claim, response);
+            await this.dependencies.claims.storeOutcome(claim, response);
             return response;
         }
         catch (error) {
             if (error instanceof RequestFailure && error.execution === Execution.NotRun) {
-                await this.dependencies.claims.giveUp(claim);
+                await this.dependencies.claims.releaseUnsent(claim);
             }
             else {
-                await this.dependencies.claims.keep(claim, undefined);
+                await this.dependencies.claims.storeOutcome(claim, undefined);
             }
             throw error;
         }
--- a/src/replay/simulatedEntries.ts
+++ b/src/replay/simulatedEntries.ts
@@ -105,8 +105,8 @@
             self,
             dataCentre,
             channel: this.channel(self.address),
-            endpoints: fleet,
-            memory: fleet,
+            endpointPort: fleet,
+            memoryPort: fleet,
             policy,
             publishesPlacements: shared,
             retryLimits: () => repeatLimits,
@@ -114,7 +114,7 @@
             knownRevisions: () => ({ [StateKind.Endpoints]: this.revision }),
             readAges: () => ({ [StateKind.Endpoints]: 0 }),
             isStoreReachable: () => true,
-            stop: () => undefined,
+            plannedStop: () => undefined,
         });
         this.byAddress.set(self.address, entry);
         return entry;
