--- a/__tests__/atMostOnce.test.ts
+++ b/__tests__/atMostOnce.test.ts
@@ -7,7 +7,7 @@
     (end as { failure?: { execution: Execution; }; } | undefined)?.failure ?? {};
 
 /** A caller sends the same booking several times, and the load balancer sends the requests to all entries at once. */
-const twoEntriesAtOnce = async ({ callers, pass, entry }: Scene): Promise<void> => {
+const sameKeyAtThreeEntries = async ({ callers, pass, entry }: Scene): Promise<void> => {
     callers.book(entry(0), "family-1");
     callers.book(entry(1), "family-1");
     callers.book(entry(2), "family-1");
@@ -15,13 +15,13 @@
     expect(callers.requests.every(request => request.end !== undefined)).toBe(true);
 };
 
-test("one key at several entries", async () => {
-    expect(await play({}, twoEntriesAtOnce)).toEqual([]);
-    expect(await play({}, twoEntriesAtOnce, "claims")).toContain("key family-1 ran 3 times");
+test("same key at several entries at once", async () => {
+    expect(await play({}, sameKeyAtThreeEntries)).toEqual([]);
+    expect(await play({}, sameKeyAtThreeEntries, "claims")).toContain("key family-1 ran 3 times");
 });
 
 /** The service runs the booking, but its response is lost. A retry would run the booking and charge it twice. */
-const answerLost = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+const loseResponse = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
     for (const service of world.services) {
         service.lostAnswers = 1;
     }
@@ -33,12 +33,12 @@
     expect(failureOf(again.end).execution ?? Execution.Unknown).toBe(Execution.Unknown);
 };
 
-test("lost answer of a booking", async () => {
-    expect(await play({}, answerLost)).toEqual([]);
-    expect(await play({}, answerLost, "sentOnce")).toContain("key family-2 ran 3 times");
+test("lost response of a booking", async () => {
+    expect(await play({}, loseResponse)).toEqual([]);
+    expect(await play({}, loseResponse, "sentOnce")).toContain("key family-2 ran 3 times");
 });
 
-test("lost answer without a key", async () => {
+test("lost response without a key", async () => {
     // Without a key a retry can't be recognized as a repeat, so the entry must never send the booking twice.
     const keyless = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.services.forEach(service => service.lostAnswers = 1);
@@ -88,7 +88,7 @@
     expect(await play({}, holderDies)).toEqual([]);
 });
 
-test("lost answers of the platform", async () => {
+test("lost responses of the platform", async () => {
     // Half of the platform's writes succeed but lose their response. Bookings must run once, and repeats get the response.
     const lossy = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.platform.faults.lostAnswers = 0.5;
@@ -126,9 +126,9 @@
     expect(violations.join()).toContain("was told not-run and ran");
 });
 
-test("repeat after its refusal", async () => {
+test("repeat of a rejected key after an outage", async () => {
     // A key that was rejected as "not run" during an outage must run when it is repeated after the outage.
-    const refused = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
+    const repeatRejectedKey = async ({ world, callers, pass, entry }: Scene): Promise<void> => {
         world.platform.faults.down = true;
         await pass(2_000);
         const first = callers.book(entry(0), "family-8");
@@ -140,7 +140,7 @@
         await pass(2_000);
         expect(again.end?.type).toBe("Whole");
     };
-    expect(await play({}, refused)).toEqual([]);
+    expect(await play({}, repeatRejectedKey)).toEqual([]);
 });
 
 test("slow platform", async () => {
--- a/__tests__/coldStart.test.ts
+++ b/__tests__/coldStart.test.ts
@@ -53,7 +53,7 @@
 
 /**
  * The home of a cold engine is paused, and another entry takes over and keeps the engine busy. When the old home resumes
- * with queued requests, it must not send them by its expired lease: both homes' requests would overload the engine.
+ * with queued requests, it must not send them on its expired lease: both homes' requests would overload the engine.
  */
 const pauseHome = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
@@ -72,7 +72,7 @@
     await pass(30_000);
 };
 
-test("paused home wakes", async () => {
+test("paused home resumes", async () => {
     const plan = {
         engines: 1,
         shape: { coldConcurrency: 1, startWarm: false, warmAfter: 1_000, tokensPerStep: 2_000 },
@@ -141,7 +141,7 @@
     expect(callers.requests.every(request => request.end?.type === "Whole")).toBe(true);
 };
 
-test("home wakes with an old report", async () => {
+test("home resumes with a stale report", async () => {
     const plan = { engines: 1, shape: { coldConcurrency: 1, restartMilliseconds: 200 } };
     expect(await play(plan, resumeHomeWithStaleReport)).toEqual([]);
 });
--- a/__tests__/configurationHolds.test.ts
+++ b/__tests__/configurationHolds.test.ts
@@ -23,12 +23,12 @@
     expect(new Set(heldValues(scene, "raced")).size).toBe(1);
 };
 
-test("racing operators and lost answers", async () => {
+test("racing operators and lost responses", async () => {
     expect(await play({}, racing)).toEqual([]);
 });
 
 /** The response to a change is lost, and another operator changes the object. An unconditional retry would revert that. */
-const lostAnswer = async (scene: Scene): Promise<void> => {
+const lostResponse = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.lostAnswers = 1;
     const first = callers.change(entry(0), "lost", 111);
@@ -40,12 +40,12 @@
     expect(heldValues(scene, "lost")).toEqual([222, 222, 222]);
 };
 
-test("lost answer and a later change", async () => {
-    expect(await play({}, lostAnswer)).toEqual([]);
+test("lost response and a later change", async () => {
+    expect(await play({}, lostResponse)).toEqual([]);
 });
 
 /** Watches stall while other calls succeed, and peers are partitioned. The change must still arrive by the full list. */
-const silentWatch = async (scene: Scene): Promise<void> => {
+const stalledWatch = async (scene: Scene): Promise<void> => {
     const { world, callers, pass, entry } = scene;
     world.platform.faults.silentWatches = true;
     world.setPartitioned("entry-1", "entry-3", true);
@@ -56,8 +56,8 @@
     expect(heldValues(scene, "watched")).toEqual([333, 333, 333]);
 };
 
-test("silent watches and parted peers", async () => {
-    expect(await play({}, silentWatch)).toEqual([]);
+test("stalled watches and partitioned peers", async () => {
+    expect(await play({}, stalledWatch)).toEqual([]);
 });
 
 /** One entry can't reach the platform. It must receive the change from its peers. */
@@ -84,9 +84,9 @@
     expect(heldValues(scene, "restored")).toEqual([555, 555, 555]);
 };
 
-test("platform comes back older", async () => {
+test("platform restored from a backup", async () => {
     expect(await play({}, restored)).toEqual([]);
-    const older = async (scene: Scene): Promise<void> => {
+    const restoredOlderVersion = async (scene: Scene): Promise<void> => {
         const { world, callers, pass, entry } = scene;
         await Promise.all([callers.change(entry(0), "models", 555), pass(2_000)]);
         const before = world.platform.currentRevision;
@@ -95,7 +95,7 @@
         world.platform.write("profile" as never, "models", 0, { shortPromptTokens: 5 });
         await pass(15_000);
     };
-    expect(await play({}, older)).toEqual([]);
+    expect(await play({}, restoredOlderVersion)).toEqual([]);
 });
 
 /** An entry starts while the platform is unavailable. It becomes ready only when it has the configuration from a peer. */
--- a/__tests__/forwarding/budgets.test.ts
+++ b/__tests__/forwarding/budgets.test.ts
@@ -15,7 +15,7 @@
     return clock satisfies Clock;
 };
 
-test("repeats of all entries stay within the allowance", () => {
+test("retries of all entries stay within the allowance", () => {
     // All endpoints fail at once and every request asks for a retry. Without a budget the attempts double.
     const clock = fakeClock();
     const budgets = Array.from(
@@ -34,14 +34,14 @@
     expect(retries).toBeLessThanOrEqual(0.2 * requests + 100);
 });
 
-test("budget comes back with time", () => {
+test("budget is available again after its window", () => {
     const clock = fakeClock();
     const budget = new SharedRetryBudget(clock, () => ({ share: 0, window: 10_000, extra: 10 }), () => 1);
-    let taken = 0;
+    let takenCount = 0;
     while (budget.tryTake("s")) {
-        taken++;
+        takenCount++;
     }
-    expect(taken).toBe(8);
+    expect(takenCount).toBe(8);
     clock.time = 10_001;
     expect(budget.tryTake("s")).toBe(true);
 });
--- a/__tests__/forwarding/configuration.test.ts
+++ b/__tests__/forwarding/configuration.test.ts
@@ -38,7 +38,7 @@
 
 test("entry lists again after the store has lost its history", async () => {
     // The store drops its history while an entry's watch is disconnected. No watch returns the changes made meanwhile, so
-    // without a new list the entry would serve a stale configuration for good.
+    // without a new list the entry would serve a stale configuration permanently.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Reset;
     await systemClock.sleep(2_100);
@@ -49,7 +49,7 @@
 });
 
 for (const refusal of [Refusal.Busy, Refusal.TooMany, Refusal.Reset]) {
-    test(`entry turned away by the store: ${refusal}`, async () => {
+    test(`entry rejected by the store: ${refusal}`, async () => {
         const { entry, door, callers } = await site.start("entry-1");
         door.refusal = refusal;
         await systemClock.sleep(2_100);
@@ -61,9 +61,9 @@
     });
 }
 
-test("watch on a silent connection", async () => {
-    // A connection to the store stalls for good while new ones work. No error is reported, and a watch without a timeout would
-    // never end.
+test("watch on a stalled connection", async () => {
+    // A connection to the store stalls permanently while new ones work. No error is reported, and a watch without a timeout
+    // would never end.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Silent;
     await systemClock.sleep(2_100);
@@ -72,7 +72,7 @@
     await until(() => entry.configuration.version === 2);
 });
 
-test("request that comes before the configuration waits for it", async () => {
+test("request that arrives before the configuration waits for it", async () => {
     // After a power loss all entries restart and callers reconnect at once. An entry that rejected requests in the few
     // milliseconds before it has its configuration would fail each caller's first attempt.
     const entry = await site.start("entry-1", false, { delay: 150 });
@@ -80,7 +80,7 @@
     expect((await call(entry.callers, "/lookups/a")).status).toBe(200);
 });
 
-test("request that comes while the store is away is refused at once", async () => {
+test("request without a configuration is rejected at once during a store outage", async () => {
     const entry = await site.start("entry-1", false, { refusal: Refusal.Busy });
     await systemClock.sleep(100);
     const answer = await call(entry.callers, "/lookups/a");
@@ -105,7 +105,7 @@
 
 test("large configuration is compressed between entries", async () => {
     // A thousand routes occupy a slow link for 200 ms. A dozen entries fetch them from one at the same time, and the last of
-    // them would serve by the old configuration for seconds.
+    // them would use the old configuration for seconds.
     const routes = Array.from({ length: 1_000 }, (...[, index]) => ({
         name: `route-${index}`,
         hostname: "desk.example",
@@ -141,7 +141,7 @@
     await until(() => entry.isReady);
 });
 
-test("lower version is never taken", () => {
+test("lower version is never applied", () => {
     // A list call that was in flight when a watch returned a newer version ends after that watch. Adopting the listed version
     // would restore removed routes and keys.
     const configuration = new ActiveConfiguration();
@@ -160,7 +160,7 @@
     expect((await call(callers, "/lookups/a")).status).toBe(401);
 });
 
-test("draining endpoint gets nothing new", async () => {
+test("draining endpoint gets no new requests", async () => {
     const { entry, callers } = await site.start("entry-1");
     const other = await site.replica("i-2", "bookings");
     site.record("i-1", { state: "draining" });
@@ -173,7 +173,7 @@
     expect(site.replicas.get("i-1")!.arrivals).toHaveLength(before);
 });
 
-test("data centre out gets nothing new", async () => {
+test("excluded data centre gets no new requests", async () => {
     const { entry, callers } = await site.start("entry-1");
     const other = await site.replica("i-2", "bookings", "north-b");
     site.store.model.put("evacuations", "north-a", {});
@@ -219,7 +219,7 @@
     await until(() => entry.directory.usable("bookings").length === 0);
 });
 
-test("records that can't be read name no endpoint", () => {
+test("unreadable records define no endpoint", () => {
     const record = { service: "s", address: "10.0.0.1:80", zone: "a", slots: 2, state: "ready", cold_remaining_ms: 0 };
     expect(parseEndpoint("i", record)).toMatchObject({ service: "s", incarnation: 0 });
     for (
--- a/__tests__/forwarding/limits.test.ts
+++ b/__tests__/forwarding/limits.test.ts
@@ -20,7 +20,7 @@
 
 afterEach(() => site.close());
 
-test("limit that an endpoint names is logged and passed on", async () => {
+test("limit that an endpoint advertises is logged and forwarded", async () => {
     const replica = await site.replica("d-1", "bookings");
     site.configure(1);
     const { callers } = await site.start("entry-1");
@@ -40,7 +40,7 @@
     await until(() => logged("names no limit") !== undefined);
 });
 
-test("limit reaches an entry that the endpoint never answered", async () => {
+test("limit reaches an entry without a response from the endpoint", async () => {
     const replica = await site.replica("d-1", "bookings");
     site.configure(1);
     const { callers } = await site.start("entry-1");
@@ -100,7 +100,7 @@
 
 for (const name of ["endpoints-limited", "all-limited"]) {
     for (const entries of [7, 30]) {
-        test(`endpoint in need gets no more than it names, ${name}, ${entries} entries`, async () => {
+        test(`overloaded endpoint gets no more than its advertised limit, ${name}, ${entries} entries`, async () => {
             // Guards against an overloaded endpoint that is chosen like the others despite its limit.
             for (const seed of [1, 2]) {
                 const { result, limited, begin, end, perSecond } = await replayWithLimits(name, entries, seed);
@@ -114,7 +114,7 @@
     }
 }
 
-test("callers are served where every endpoint names a limit", async () => {
+test("callers are served where every endpoint advertises a limit", async () => {
     const { result, begin, end } = await replayWithLimits("all-limited", 7, 1);
     const records = result.records.filter(({ arrival: { at } }) => at > begin + propagationDuration && at < end);
     const served = records.filter(({ outcome }) => outcome === CallerOutcome.InTime || outcome === CallerOutcome.Late);
@@ -132,9 +132,9 @@
 };
 
 for (const entries of [7, 30]) {
-    test(`all of ${entries} entries hear of a limit and of its end`, async () => {
+    test(`limit and its end reach all of ${entries} entries`, async () => {
         // With few requests per entry, most entries would send to an overloaded endpoint for seconds, and others would
-        // avoid it for ever.
+        // avoid it forever.
         const { result, begin, end } = await replayWithLimits("endpoints-limited", entries, 1);
         const limitLogTimes = logTimesByEndpoint(result, "An endpoint names a limit.", begin + settlingDuration);
         const noLimitLogTimes = logTimesByEndpoint(
@@ -151,8 +151,8 @@
     });
 }
 
-const limitsOf = (known: number, rank: number, clock = new SimulatedClock()): EndpointLimits =>
-    new EndpointLimits(clock, silentLog, { knownCount: known, rank: () => rank });
+const limitsOf = (knownCount: number, rank: number, clock = new SimulatedClock()): EndpointLimits =>
+    new EndpointLimits(clock, silentLog, { knownCount, rank: () => rank });
 
 /** Requests that one entry may send at once. */
 const countAllowedSends = (limits: EndpointLimits, allowance: Allowance): number => {
@@ -164,15 +164,15 @@
     return sent;
 };
 
-for (const known of [1, 6, 62, 195]) {
-    test(`shares of ${known} entries sum up to what an endpoint takes`, () => {
+for (const knownCount of [1, 6, 62, 195]) {
+    test(`shares of ${knownCount} entries sum up to an endpoint's limit`, () => {
         // With a fraction of a request per entry no entry would send anything; with one request per entry, all together
         // would send too much.
         for (const perSecond of [0, 0.3, 1.1, 1.6, 12]) {
             const sums = { [Allowance.Named]: 0, [Allowance.Excess]: 0 };
             for (const allowance of [Allowance.Named, Allowance.Excess]) {
-                for (const rank of Array(known).keys()) {
-                    const limits = limitsOf(known, rank);
+                for (const rank of Array(knownCount).keys()) {
+                    const limits = limitsOf(knownCount, rank);
                     limits.recordLimit("m-1", perSecond);
                     sums[allowance] += countAllowedSends(limits, allowance);
                 }
@@ -184,7 +184,7 @@
     });
 }
 
-test("answer that was under way doesn't lift a limit", async () => {
+test("response that was in flight doesn't lift a limit", async () => {
     const clock = new SimulatedClock();
     const limits = limitsOf(6, 0, clock);
     await clock.run(100);
--- a/__tests__/forwarding/membership.test.ts
+++ b/__tests__/forwarding/membership.test.ts
@@ -58,7 +58,7 @@
     expect(fixture.membership.budgetDivisor).toBe(9);
 });
 
-test("unresponsive entries count toward the size", () => {
+test("unresponsive entries count toward the budget divisor", () => {
     // A network partition separates two data centres. Each half receives only from itself, and both send to the same endpoints.
     const fixture = new Fixture();
     fixture.applyListing(40);
@@ -107,7 +107,7 @@
     }));
 
 for (const count of [1, 6, 13, 14, 62, 85, 330]) {
-    test(`message reaches all of ${count} entries once, and costs each little`, () => {
+    test(`message reaches all of ${count} entries once, with few datagrams per entry`, () => {
         // The datagrams that an entry sends per placement must not grow in proportion to the number of entries: over a slow
         // link the last of 60 would receive the placement 25 ms later, and choose the same endpoints meanwhile.
         const members = membersOf(count);
--- a/__tests__/forwarding/peerUpdates.test.ts
+++ b/__tests__/forwarding/peerUpdates.test.ts
@@ -104,7 +104,7 @@
         expect(site.members.map(({ peers }) => peers.livingCount)).toEqual(site.members.map(() => count));
     });
 
-    test(`half of ${count} entries killed at once are missed, and found again`, async () => {
+    test(`half of ${count} entries killed at once are detected as lost, and found again`, async () => {
         // Half of a site loses power. The remaining entries must soon detect that the watchers of the store are gone, and must
         // find the others again after their restart.
         const site = new Site(count);
@@ -123,7 +123,7 @@
         expect(site.members.map(({ peers }) => peers.livingCount)).toEqual(site.members.map(() => count));
     });
 
-    test(`placement is known by all who choose endpoints for ${count} entries, and its end`, async () => {
+    test(`placement and its end reach all placers of ${count} entries`, async () => {
         // Guards against placers that choose an endpoint in use because they haven't received its placement.
         const site = new Site(count);
         await site.clock.run(5_000);
--- a/__tests__/forwarding/peers.test.ts
+++ b/__tests__/forwarding/peers.test.ts
@@ -44,13 +44,13 @@
     const long = call(first.callers, "/replies/a", { headers: generation(promptTokens, 1_200) });
     const isEstimated = () => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requestCount > 0);
     await until(() => isEstimated() && [...site.replicas.values()].some(replica => replica.arrivals.length > 0));
-    const taken = [...site.replicas.values()].find(replica => replica.arrivals.length > 0)!;
+    const usedEndpoint = [...site.replicas.values()].find(replica => replica.arrivals.length > 0)!;
     await call(second.callers, "/replies/a", { headers: generation(promptTokens, 8) });
-    expect(taken.arrivals).toHaveLength(1);
+    expect(usedEndpoint.arrivals).toHaveLength(1);
     await long;
 });
 
-test("stopping entry is announced and taken off the list", async () => {
+test("stopping entry is announced and removed from the list", async () => {
     const first = await site.start("entry-1");
     const second = await site.start("entry-2");
     await until(() => hasFound("entry-1", "entry-2"));
@@ -62,9 +62,9 @@
     expect(first.entry.isReady).toBe(true);
 });
 
-test("entry that the store turns away learns from others", async () => {
+test("entry that the store rejects gets changes from its peers", async () => {
     // The store rejects one entry and serves the others, while the configuration changes, an endpoint drains and a data centre
-    // is excluded. Without its peers the entry would serve its callers by stale state.
+    // is excluded. Without its peers the entry would serve its callers with stale state.
     const served = await site.start("entry-1");
     const { entry, door } = await site.start("entry-2");
     await until(() => hasFound("entry-1", "entry-2") && hasFound("entry-2", "entry-1"));
@@ -89,15 +89,15 @@
     await until(() => again.entry.isReady);
 });
 
-test("restarted entry learns the work in progress", async () => {
+test("restarted entry fetches the work in progress", async () => {
     // Entries are restarted one by one. Without the others' placements a new process estimates all endpoints as idle and
     // sends short prompts behind long prefills.
     const first = await site.start("entry-1");
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_000) });
     await until(() => [...site.replicas.keys()].some(id => first.entry.loadOf(id).requestCount > 0));
-    const taken = [...site.replicas.keys()].find(id => first.entry.loadOf(id).requestCount > 0)!;
+    const usedEndpoint = [...site.replicas.keys()].find(id => first.entry.loadOf(id).requestCount > 0)!;
     const second = await site.start("entry-2");
-    await until(() => second.entry.loadOf(taken).requestCount === 1);
+    await until(() => second.entry.loadOf(usedEndpoint).requestCount === 1);
     await long;
 });
 
@@ -109,13 +109,13 @@
     await until(() => hasFound("entry-1", "entry-2") && hasFound("entry-2", "entry-1"));
     const long = call(first.callers, "/replies/a", { headers: generation(40_000, 1_500) });
     await until(() => [...site.replicas.keys()].some(id => second.entry.loadOf(id).requestCount > 0));
-    const taken = [...site.replicas.keys()].find(id => second.entry.loadOf(id).requestCount > 0)!;
+    const usedEndpoint = [...site.replicas.keys()].find(id => second.entry.loadOf(id).requestCount > 0)!;
     void first.entry.stop();
     const stopped = () => site.lines.some(({ entry, message }) => entry === "entry-2" && /is stopping/.test(message));
     await until(stopped);
     // Long enough for its next heartbeat.
     await systemClock.sleep(700);
-    expect(second.entry.loadOf(taken).requestCount).toBe(1);
+    expect(second.entry.loadOf(usedEndpoint).requestCount).toBe(1);
     expect(contactCount("entry-2", "entry-1")).toBe(1);
     await long;
 });
--- a/__tests__/forwarding/placementClient.test.ts
+++ b/__tests__/forwarding/placementClient.test.ts
@@ -129,8 +129,8 @@
     expect(fixture.published).toEqual([]);
 });
 
-test("draining endpoint is not used, whoever chooses it", async () => {
-    // Guards against a request to an endpoint after this entry has learned that it drains.
+test("draining endpoint is not used, even if a placer chooses it", async () => {
+    // Guards against a request to an endpoint after this entry has received its draining state.
     const fixture = new Fixture();
     const choice = fixture.client.choose(fixture.request());
     fixture.list({ a: EndpointState.Ready, b: EndpointState.Draining });
@@ -139,7 +139,7 @@
     expect(fixture.published[0]).toEqual({ type: "Ended", endpoints: ["b"], id: "r" });
 });
 
-test("cold endpoint beyond this entry's part is not used, whoever chooses it", async () => {
+test("cold endpoint beyond this entry's share is not used, even if a placer chooses it", async () => {
     // Guards against a cold endpoint that gets more than it tolerates, as a placer can't count the requests of all entries.
     const fixture = new Fixture();
     fixture.list({ a: EndpointState.Ready });
@@ -161,7 +161,7 @@
 });
 
 test("entry chooses itself after two unresponsive placers", async () => {
-    // Guards against requests that wait for entries which are gone.
+    // Guards against requests that wait for entries that have failed.
     const fixture = new Fixture();
     const choice = fixture.client.choose(fixture.request());
     await fixture.clock.run(100);
@@ -170,7 +170,7 @@
 });
 
 test("placement of a late answer is undone", async () => {
-    // Guards against endpoints that seem busy with work which was sent elsewhere.
+    // Guards against endpoints that seem busy with work that was sent to other endpoints.
     const fixture = new Fixture();
     const choice = fixture.client.choose(fixture.request());
     await fixture.clock.run(50);
--- a/__tests__/forwarding/program.test.ts
+++ b/__tests__/forwarding/program.test.ts
@@ -110,7 +110,7 @@
     expect(await readiness()).toBe(status);
 };
 
-test("SIGHUP reads the settings again and ends nothing", async () => {
+test("SIGHUP reloads the settings and doesn't end the process", async () => {
     // The platform sends SIGHUP when the settings file has changed. Node ends a process that does not handle SIGHUP, and every
     // request in progress with it.
     const exited = start(await settingsText());
@@ -130,7 +130,7 @@
     expect(await exited).toBe(0);
 });
 
-test("SIGTERM ends an idle entry within the grace", async () => {
+test("SIGTERM ends an idle entry within the grace period", async () => {
     const exited = start(await settingsText());
     await untilReadinessIs(200);
     child!.kill("SIGTERM");
@@ -144,7 +144,7 @@
     expect(output).toContain("[stop] graceSeconds: expected a number of at least 0");
 });
 
-test("reader of the logs that stalls", async () => {
+test("stalled reader of the log doesn't block the entry", async () => {
     // The consumer of the log stops reading. Node writes to pipes synchronously, and the whole entry would block at the first
     // line after the pipe is full.
     site.configure(2, { lookups: { timeout_ms: 60_000 } });
--- a/__tests__/forwarding/requests.test.ts
+++ b/__tests__/forwarding/requests.test.ts
@@ -50,7 +50,7 @@
     expect(arrival!.headers["x-drop"]).toBeUndefined();
 });
 
-test("time left is handed on", async () => {
+test("remaining time is forwarded", async () => {
     const { replica, entry } = await bookings();
     await call(entry.callers, "/lookups/a", { headers: { "dandelionramp-deadline-ms": "1500" } });
     const forwardedDeadline = Number(replica.arrivals[0]!.headers["dandelionramp-deadline-ms"]);
@@ -58,13 +58,13 @@
     expect(forwardedDeadline).toBeLessThanOrEqual(1_500);
 });
 
-test("route's timeout bounds what is handed on", async () => {
+test("route's timeout bounds the forwarded deadline", async () => {
     const { replica, entry } = await bookings();
     await call(entry.callers, "/lookups/a", { headers: { "dandelionramp-deadline-ms": "60000" } });
     expect(Number(replica.arrivals[0]!.headers["dandelionramp-deadline-ms"])).toBeLessThanOrEqual(2_000);
 });
 
-test("answer at the route's timeout", async () => {
+test("response at the route's timeout", async () => {
     // A replica accepts a request and never responds. The caller must receive a response when the timeout of the route is over,
     // not only at its own deadline.
     const { replica, entry } = await bookings();
@@ -129,7 +129,7 @@
     expect(replica.arrivals).toHaveLength(1);
 });
 
-test("booking isn't sent again after a broken answer", async () => {
+test("booking isn't sent again after a broken response", async () => {
     // The replica books the place and dies before its response is sent. A second attempt would book and charge twice.
     const { replica, entry } = await bookings();
     await site.replica("i-2", "bookings");
@@ -148,7 +148,7 @@
     expect(replica.arrivals.length).toBeLessThanOrEqual(1);
 });
 
-test("lookup goes to another endpoint after a broken answer", async () => {
+test("lookup goes to another endpoint after a broken response", async () => {
     const { replica, entry } = await bookings();
     const other = await site.replica("i-2", "bookings");
     await until(() => entry.entry.directory.usable("bookings").length === 2);
@@ -183,7 +183,7 @@
     expect(arrivals).toBe(2);
 });
 
-test("endpoint's own failure is passed on", async () => {
+test("endpoint's own failure is forwarded", async () => {
     const { replica, entry } = await bookings();
     replica.fault = ({ id }, response) => {
         response.writeHead(500, replica.answerHeaders(id)).end("no bunk");
@@ -207,7 +207,7 @@
     }
 });
 
-test("stream passes event by event", async () => {
+test("stream is relayed event by event", async () => {
     const { entry } = await models();
     const answer = await call(entry.callers, "/replies/a", { headers: generation(1_000, 40) });
     expect(answer).toMatchObject({ status: 200, whole: true });
@@ -221,7 +221,7 @@
     expect(eventIds(answer.body)).toEqual([7, 8, 9, 10]);
 });
 
-test("broken stream goes on elsewhere", async () => {
+test("broken stream continues at another endpoint", async () => {
     // A replica dies in the middle of an event. The stream continues at another replica after the last complete event, without
     // a gap, a repeated event or a partial event.
     const { first, second, entry } = await models();
@@ -258,7 +258,7 @@
     expect(first.arrivals.length + second.arrivals.length).toBe(1);
 });
 
-test("events that come again aren't passed on", async () => {
+test("repeated events aren't forwarded", async () => {
     // A faulty replica starts a resumed stream from its beginning. Relaying it would give the caller events twice.
     const { first, second, entry } = await models();
     for (const replica of [first, second]) {
@@ -274,7 +274,7 @@
     expect(answer.whole).toBe(false);
 });
 
-test("caller who leaves cancels the work", async () => {
+test("disconnect of the caller cancels the work", async () => {
     const { first, second, entry } = await models();
     const disconnect = new AbortController();
     const pendingCall = call(entry.callers, "/replies/a", {
@@ -324,7 +324,7 @@
     expect(arrival.headers["dandelionramp-helpers"]!.split(",").length).toBe(2);
 });
 
-test("work that callers would give up is refused at once", async () => {
+test("request whose caller would give up is rejected at once", async () => {
     // All slots are taken for seconds, and requests are queued for them. The caller of a further request would give up before
     // its first event, so the entry rejects the request at once with a retry delay, and it has not run.
     await site.replica("m-1", "models");
@@ -375,8 +375,8 @@
     // An endpoint accepts a request and sends nothing more, while its health checks succeed. Without a bound the caller would
     // give up after two seconds, or wait until its deadline.
     const { first, second, entry } = await models();
-    for (const silent of [first, second]) {
-        silent.fault = () => first.arrivals.length + second.arrivals.length === 1;
+    for (const stalled of [first, second]) {
+        stalled.fault = () => first.arrivals.length + second.arrivals.length === 1;
     }
     const answer = await call(entry.callers, "/replies/a", { id: "r-1", headers: generation(1_000, 20) });
     expect(answer.status).toBe(200);
@@ -387,8 +387,8 @@
 
 test("stalled stream continues at another endpoint", async () => {
     const { first, second, entry } = await models();
-    for (const silent of [first, second]) {
-        silent.fault = ({ id }, response, replica) => {
+    for (const stalled of [first, second]) {
+        stalled.fault = ({ id }, response, replica) => {
             if (first.arrivals.length + second.arrivals.length > 1) {
                 return false;
             }
--- a/__tests__/forwarding/storeOutage.test.ts
+++ b/__tests__/forwarding/storeOutage.test.ts
@@ -30,20 +30,20 @@
 class StallingStore {
     callCount = 0;
     revision = 1;
-    private isSilent = false;
+    private isStalled = false;
     private rejectedEntries: ReadonlySet<number> = new Set();
     private waiting = new Set<() => void>();
     private readonly changedAt: { revision: number; at: Milliseconds; }[] = [];
 
     constructor(private readonly clock: SimulatedClock) {}
 
-    fallSilent(): void {
-        this.isSilent = true;
+    stall(): void {
+        this.isStalled = true;
         this.waiting = new Set();
     }
 
     recover(): void {
-        this.isSilent = false;
+        this.isStalled = false;
     }
 
     change(): void {
@@ -88,8 +88,8 @@
     ): Promise<Answer> {
         this.callCount++;
         try {
-            return await withTimeout(this.clock, wait + callTimeoutMargin, "the store's answer", async () => {
-                if (this.isSilent) {
+            return await withTimeout(this.clock, wait + callTimeoutMargin, "the store's response", async () => {
+                if (this.isStalled) {
                     await new Promise<never>(() => {});
                 }
                 await this.untilWoken(wait);
@@ -169,10 +169,10 @@
         });
         const membership = new Membership(peers, self.id);
         const peerState = new PeerState(peers, this.statePort(), membership, `centre-${index % 3}`, random);
-        const learnedAt = new Map<number, Milliseconds>();
+        const appliedAt = new Map<number, Milliseconds>();
         const recordApplied = (revision: number) => {
-            if (!learnedAt.has(revision)) {
-                learnedAt.set(revision, clock.now());
+            if (!appliedAt.has(revision)) {
+                appliedAt.set(revision, clock.now());
             }
         };
         const follower: StateFollower<typeof kind> = new StateFollower(
@@ -185,7 +185,7 @@
         );
         peers.onStateDelta = change => follower.applyDelta(change);
         const ending = new AbortController();
-        this.running.set(self.address, { peers, mirror: follower.mirror, appliedAt: learnedAt, abort: ending });
+        this.running.set(self.address, { peers, mirror: follower.mirror, appliedAt, abort: ending });
         peers.applyListing(
             [...Array(this.count).keys()].map(other => ({ id: `entry-${other}`, address: `a-${other}` })),
         );
@@ -201,7 +201,7 @@
     /** When the last entry applied the change at `revision`; infinite if an entry hasn't. */
     appliedByAllAt(revision: number): Milliseconds {
         return Math.max(...[...this.running.values()].map(({ mirror, appliedAt }) => {
-            const later = [...appliedAt].filter(([known]) => known >= revision).map(([, at]) => at);
+            const later = [...appliedAt].filter(([applied]) => applied >= revision).map(([, at]) => at);
             return (mirror.revision ?? 0) >= revision ? Math.min(...later) : Infinity;
         }));
     }
@@ -229,15 +229,15 @@
 }
 
 for (const count of [7, 40]) {
-    test(`changes after a silent store's return, ${count} entries`, async () => {
+    test(`change after a stalled store recovers, ${count} entries`, async () => {
         // The store stalls for eight seconds, and most entries restart meanwhile. All calls started before its recovery stay
-        // unanswered. Without new calls, entries would serve requests by a configuration replaced seconds ago.
+        // unanswered. Without new calls, entries would serve requests with a configuration that was replaced seconds ago.
         const fleet = new Fleet(count, 1);
         const { clock, store } = fleet;
         await clock.run(4_000);
         store.change();
         await clock.run(6_000);
-        store.fallSilent();
+        store.stall();
         await clock.run(9_000);
         const killed = [...Array(Math.ceil(count * 0.6)).keys()];
         for (const index of killed) {
@@ -258,16 +258,16 @@
     });
 }
 
-for (const silentFor of [100, 1_000, 2_500]) {
-    test(`change after the store was silent for ${silentFor} ms`, async () => {
-        // All open calls stall for good at once, and new calls work soon after.
+for (const stallDuration of [100, 1_000, 2_500]) {
+    test(`change after the store stalled for ${stallDuration} ms`, async () => {
+        // All open calls stall permanently at once, and new calls work soon after.
         for (const seed of [1, 2, 3]) {
             const fleet = new Fleet(7, seed);
             const { clock, store } = fleet;
-            const silentAt = 10_000 + 700 * seed;
-            await clock.run(silentAt);
-            store.fallSilent();
-            const backAt = silentAt + silentFor;
+            const stalledAt = 10_000 + 700 * seed;
+            await clock.run(stalledAt);
+            store.stall();
+            const backAt = stalledAt + stallDuration;
             await clock.run(backAt);
             store.recover();
             await clock.run(backAt + settledAfter - changeDeadline);
@@ -289,19 +289,19 @@
         const fleet = new Fleet(count, 1);
         const { clock, store } = fleet;
         await clock.run(10_000);
-        const begun = store.callCount;
+        const initialCallCount = store.callCount;
         await clock.run(30_000);
-        const calm = store.callCount - begun;
-        store.fallSilent();
+        const normalCallCount = store.callCount - initialCallCount;
+        store.stall();
         await clock.run(40_000);
-        const away = store.callCount - begun - calm;
-        expect(calm).toBeLessThanOrEqual(20);
-        expect(away).toBeLessThanOrEqual(10 * callsPerSecond);
+        const outageCallCount = store.callCount - initialCallCount - normalCallCount;
+        expect(normalCallCount).toBeLessThanOrEqual(20);
+        expect(outageCallCount).toBeLessThanOrEqual(10 * callsPerSecond);
     });
 }
 
 for (const first of [0, 3]) {
-    test(`store answers three of seven entries, not those from ${first} on`, async () => {
+    test(`store responds to three of seven entries, not to the four from ${first} on`, async () => {
         // If the others waited for higher-ranked entries that get no response, no entry would receive a change.
         const fleet = new Fleet(7, 1);
         const { clock, store } = fleet;
--- a/__tests__/poison.test.ts
+++ b/__tests__/poison.test.ts
@@ -18,7 +18,7 @@
     expect(last?.type === "Failed" && last.failure.retryAfterSeconds).toBeGreaterThan(0);
 };
 
-test("poison sent again by every entry", async () => {
+test("poison retried at every entry", async () => {
     let crashesWithTracking = 0;
     expect(
         await play({}, async scene => {
@@ -53,6 +53,6 @@
     expect(retried.every(request => request.end?.type === "Whole")).toBe(true);
 };
 
-test("innocents clear themselves", async () => {
+test("harmless requests beside poison are not rejected", async () => {
     expect(await play({}, runBesidePoison)).toEqual([]);
 });
--- a/__tests__/stops.test.ts
+++ b/__tests__/stops.test.ts
@@ -90,13 +90,13 @@
 
 test("data centre out in an outage", async () => {
     expect(await play({}, outInOutage)).toEqual([]);
-    const spreads = async (scene: Scene): Promise<void> => {
+    const orderOut = async (scene: Scene): Promise<void> => {
         scene.world.platform.faults.down = true;
         await scene.pass(3_000);
         void scene.callers.restrict(scene.entry(1), "out", "dataCentre", "north");
         await sendSteadily(scene, 60);
     };
-    expect((await play({}, spreads, "provisionalOuts")).join()).toContain("after north went out");
+    expect((await play({}, orderOut, "provisionalOuts")).join()).toContain("after north went out");
 });
 
 /**
@@ -124,11 +124,11 @@
 
 test("paused while a data centre goes out", async () => {
     expect(await play({}, pausedWhileOut)).toEqual([]);
-    const wakes = (scene: Scene): Promise<void> => pausedWhileOut(scene).catch(() => undefined);
-    expect((await play({}, wakes, "pauseGuard")).join()).toContain("went out");
+    const resume = (scene: Scene): Promise<void> => pausedWhileOut(scene).catch(() => undefined);
+    expect((await play({}, resume, "pauseGuard")).join()).toContain("went out");
 });
 
-test("out and in again", async () => {
+test("data centre out and in again", async () => {
     // A data centre that is brought back in gets work again, although its out was sent to the peers as provisional.
     const outAndIn = async (scene: Scene): Promise<void> => {
         const { callers, pass, entry, world } = scene;
@@ -159,7 +159,7 @@
     expect(world.entries.every(each => each.node.restrictions.isOut("dataCentre", "north"))).toBe(true);
 };
 
-test("late order in after an order out", async () => {
+test("delayed order in doesn't revert a later order out", async () => {
     expect(await play({}, lateIn)).toEqual([]);
 });
 
--- a/src/adapters/callers/generationRoutes.ts
+++ b/src/adapters/callers/generationRoutes.ts
@@ -185,7 +185,7 @@
         if (!response.headersSent) {
             throw error;
         }
-        // An error event in place of the end event lets the caller tell an incomplete response from a complete one.
+        // An error event in place of the end event lets the caller distinguish an incomplete response from a complete one.
         const failure = failureOf(error);
         node.metrics.count("failures_total", `kind="${failure.kind}"`);
         response.end(`event: error\ndata: ${JSON.stringify(problemOf(failure, exchange.requestId))}\n\n`);
--- a/src/adapters/forwarding/endpointClient.ts
+++ b/src/adapters/forwarding/endpointClient.ts
@@ -19,7 +19,7 @@
 const misdirectedRequestStatus = 421;
 /** Limit for a response that is buffered in memory. Responses that are not streamed are far smaller. */
 const maximumResponseBytes = 16 * 1024 * 1024;
-/** Statuses that tell callers that the request has not run. They are forwarded only with that guarantee by the endpoint. */
+/** Statuses that guarantee callers that the request has not run; forwarded only if the endpoint gives that guarantee. */
 const notRunStatuses = new Set([408, 429, 503]);
 
 const isSuccess = (status: number): boolean => status >= 200 && status < 300;
--- a/src/adapters/forwarding/entrySettings.ts
+++ b/src/adapters/forwarding/entrySettings.ts
@@ -36,7 +36,7 @@
     peers: z.strictObject({
         /** Addresses of entries to contact first, separated by commas; empty where the platform names none. */
         seeds: setting.list(),
-        /** Whether the whole site is starting for the first time; empty where the platform does not say. */
+        /** Whether the whole site is starting for the first time; empty where the platform does not specify it. */
         firstStart: z.union([setting.flag(), z.literal("")]).transform(value => value === true),
     }).default({ seeds: [], firstStart: false }),
     store: z.strictObject({ address: setting.address() }),
--- a/src/adapters/forwarding/forwardingEntry.ts
+++ b/src/adapters/forwarding/forwardingEntry.ts
@@ -38,14 +38,14 @@
 const stopMargin: Milliseconds = 600;
 const drainPollInterval: Milliseconds = 50;
 /**
- * How long an entry waits for its peers before it asks the store, when the whole site starts for the first time. No caller is
- * waiting yet, and the longer wait avoids calls to the store.
+ * How long an entry waits for its peers before it queries the store, when the whole site starts for the first time. No
+ * caller is waiting yet, and the longer wait avoids calls to the store.
  */
 const firstStartPeerTimeout: Milliseconds = 2_000;
 /** The same wait at any other start. Callers are waiting, and running entries respond within a few milliseconds. */
 const restartPeerTimeout: Milliseconds = 20;
 
-/** How many peers an entry asks for the work in progress before it gives up, and the timeout for each; some may be gone. */
+/** Maximum number of peers that an entry asks for the work in progress, and the timeout for each; some may have failed. */
 const maximumWorkQueries = 3;
 const workQueryTimeout: Milliseconds = 300;
 /** How often an entry checks whether it has become a placer: at short intervals during startup, at longer ones afterwards. */
@@ -281,7 +281,7 @@
         }
     }
 
-    /** How long this entry waits for state from its peers before it asks the store. */
+    /** How long this entry waits for state from its peers before it queries the store. */
     private peerTimeout(): Milliseconds {
         const { seeds, firstStart } = this.settings.peers;
         if (seeds.every(address => address === this.settings.listen.peers)) {
@@ -372,13 +372,13 @@
     }
 
     private knownRevisions(): KnownRevisions {
-        const known: KnownRevisions = {};
+        const revisions: KnownRevisions = {};
         for (const [kind, { mirror }] of Object.entries(this.followers)) {
             if (mirror.revision !== undefined) {
-                known[kind as StateKind] = mirror.lastChange;
+                revisions[kind as StateKind] = mirror.lastChange;
             }
         }
-        return known;
+        return revisions;
     }
 
     private runTask(task: string, work: Promise<void>): void {
--- a/src/adapters/forwarding/peerSocket.ts
+++ b/src/adapters/forwarding/peerSocket.ts
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Logs one of every 1,000 failures, since every send to a peer that is gone fails. */
+    /** Logs one of every 1,000 failures, since every send to a failed peer fails. */
     private logFailure(error: unknown): void {
         if (this.failureCount % 1_000 === 0) {
             this.log.warn("A datagram could not be sent or processed.", {
--- a/src/core/budgets/coldBudget.ts
+++ b/src/core/budgets/coldBudget.ts
@@ -11,11 +11,12 @@
 
 /** Slightly longer than the one second that the limit covers, as network delays shift the arrivals. */
 const countingWindow: Milliseconds = 1_100;
-/** Share of the allowance that is used; the rest is a reserve for one entry more than is known. */
+/** Share of the allowance that is used; the remainder is a reserve for one entry that is not known yet. */
 const usableAllowanceRatio = 0.8;
 
 /** The entries that share an allowance. */
 export interface SharingEntries {
+    /** Number by which the allowance of all entries is divided. */
     readonly budgetDivisor: number;
     /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
--- a/src/core/budgets/endpointLimits.ts
+++ b/src/core/budgets/endpointLimits.ts
@@ -16,7 +16,7 @@
 /** How far requests in a window may exceed a limit: by a factor, and by a number of requests on top. */
 const excessFactor = 1.5;
 const excessExtra = 5;
-/** Share of that excess that is used; the rest is a reserve for entries that disagree on the number of entries. */
+/** Share of that excess that is used; the remainder is a reserve for entries that disagree on the number of entries. */
 const usableExcessRatio = 0.8;
 /** A limit that no response confirmed for this long expires; the next request then shows the current limit. */
 const limitLifetime: Milliseconds = 60_000;
--- a/src/core/budgets/sharedRetryBudget.ts
+++ b/src/core/budgets/sharedRetryBudget.ts
@@ -11,7 +11,7 @@
     extra: number;
 }
 
-/** Share of the allowance that is used; the rest is a reserve for entries whose windows differ a little. */
+/** Share of the allowance that is used; the remainder is a reserve for entries whose windows differ slightly. */
 const usableAllowanceRatio = 0.8;
 
 /**
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -37,9 +37,9 @@
 const createTimeoutMilliseconds = 2_000;
 const createRetryDelayMilliseconds = 50;
 /** How long the caller's response is delayed until it is stored; after that, storing continues in the background. */
-const keepTimeoutMilliseconds = 1_000;
-const keepRetryDelayMilliseconds = 250;
-const maximumKeepAttempts = 60;
+const storeTimeoutMilliseconds = 1_000;
+const storeRetryDelayMilliseconds = 250;
+const maximumStoreAttempts = 60;
 /** Interval at which a claim held by another entry is read again. */
 const pollIntervalMilliseconds = 100;
 /** Largest response body that is stored for repeats. The platform stores values of up to one megabyte. */
@@ -195,7 +195,7 @@
         const written = this.writeOutcome(claim, value).finally(() => this.runningNonces.delete(claim.value.nonce));
         await withTimeoutOrUndefined(
             this.dependencies.clock,
-            keepTimeoutMilliseconds,
+            storeTimeoutMilliseconds,
             "storing a response",
             () => written,
         );
@@ -212,7 +212,7 @@
     /**
      * Whether this entry has seen a claim of the key.
      *
-     * During a platform outage an entry can't tell a repeat from a first request. If it rejected a repeat as "not run"
+     * During a platform outage an entry can't distinguish a repeat from a first request. If it rejected a repeat as "not run"
      * although the first request had run, the caller would book elsewhere and be charged twice. An entry therefore
      * asks its peers for their history of the key before it answers "not run".
      */
@@ -463,7 +463,7 @@
     }
 
     private async writeOutcome(claim: HeldClaim, value: ClaimValue): Promise<void> {
-        for (let attempt = 0; attempt < maximumKeepAttempts; attempt++) {
+        for (let attempt = 0; attempt < maximumStoreAttempts; attempt++) {
             try {
                 // A conflict means that an earlier attempt of this write succeeded and its response was lost: no other
                 // entry takes over a claim that is in use. The outcome of the write is therefore not checked.
@@ -474,7 +474,7 @@
                 if (!(error instanceof PlatformError)) {
                     throw error;
                 }
-                await this.dependencies.clock.sleep(keepRetryDelayMilliseconds);
+                await this.dependencies.clock.sleep(storeRetryDelayMilliseconds);
             }
         }
         this.dependencies.log.error("A response could not be stored. Repeats of its key will not get it.", {
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -29,7 +29,7 @@
  * Holds each configuration object at the highest version received from the platform or a peer.
  *
  * A slow watch, a stale peer or a platform restored from a backup can deliver old versions, which would revert a change
- * that an operator was told is accepted. Applying only higher versions prevents this.
+ * that was reported to an operator as accepted. Applying only higher versions prevents this.
  */
 export class Configuration {
     /** Notified after each change. */
--- a/src/core/configuration/pollSchedule.ts
+++ b/src/core/configuration/pollSchedule.ts
@@ -3,7 +3,7 @@
  *
  * A call that was open when the store or a connection became unresponsive never gets a response, and common causes start the
  * calls of all entries at the same time: a change, a restart, the end of an outage. No entry may therefore rely on the other
- * entries' calls ending at other times than its own. Entries publish when the store last answered them; once that is too
+ * entries' calls ending at other times than its own. Entries publish when the store last responded to them; once that is too
  * long ago, one entry after the other polls the store with a new call, whatever calls it has open.
  */
 import type { Milliseconds } from "../../utils/clock.js";
--- a/src/core/configuration/stateFollower.ts
+++ b/src/core/configuration/stateFollower.ts
@@ -49,15 +49,15 @@
     readonly livingCount: number;
     /** Notified when a peer reports a newer revision, and on a timer. */
     readonly changed: ChangeSignal;
-    /** Publishes that the store has answered, with the delta if there is one. */
+    /** Publishes that the store has responded, with the delta if there is one. */
     publishRead(change: StateDelta | undefined): void;
     /** Whether this entry is one of those that watch the store for all. */
     readonly isWatcher: boolean;
     /** Number of entries that poll the store before this one. */
     readonly pollRank: number;
-    /** Number of other entries that the store doesn't answer. */
+    /** Number of other entries that the store doesn't respond to. */
     readonly peersWithoutStoreCount: number;
-    /** When the store last answered a peer that has no change of `kind` after `revision`. */
+    /** When the store last responded to a peer that has no change of `kind` after `revision`. */
     lastReadAt(kind: StateKind, revision: number | undefined): Milliseconds;
     /** Whether a peer has a change of `kind` after `revision`, or any revision where `revision` is undefined. */
     hasNewer(kind: StateKind, revision: number | undefined): boolean;
@@ -85,7 +85,7 @@
 enum AbandonReason {
     /** Peers have had a newer change for longer than {@link staleCallTimeout}. */
     Stale = "deaf",
-    /** The store has answered no entry for too long, and this entry is next to poll it. */
+    /** The store has responded to no entry for too long, and this entry is next to poll it. */
     Overdue = "overdue",
 }
 
@@ -98,7 +98,7 @@
     private isHistoryLost = false;
     /** Whether a peer reported a newer revision but didn't deliver it, so that the store must be polled. */
     private isPollDue = false;
-    /** When the current or last call started, and when the store last answered one. */
+    /** When the current or last call started, and when the store last responded to one. */
     private callStartedAt: Milliseconds = 0;
     private lastResponseAt: Milliseconds | undefined;
     /** Since when a peer has had a change that this entry hasn't. */
@@ -120,7 +120,7 @@
         return this.failureCount === 0;
     }
 
-    /** Time since the store last answered this entry; undefined if it never did. */
+    /** Time since the store last responded to this entry; undefined if it never did. */
     get readAge(): Milliseconds | undefined {
         return this.lastResponseAt === undefined ? undefined : this.dependencies.clock.now() - this.lastResponseAt;
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Time until this entry must poll the store because the store has answered no entry for too long. */
+    /** Time until this entry must poll the store because the store has responded to no entry for too long. */
     private timeUntilPoll(): Milliseconds {
         const { clock, peers } = this.dependencies;
         const lastReadAt = Math.max(
--- a/src/core/configurationReader.ts
+++ b/src/core/configurationReader.ts
@@ -43,7 +43,7 @@
     return dependencies.clock.sleep(wait, signal);
 };
 
-/** Lists and merges the whole configuration once. Throws PlatformError. */
+/** Lists and merges the complete configuration once. Throws PlatformError. */
 export const listConfiguration = async (dependencies: ConfigurationReaderDependencies): Promise<void> => {
     const page = await dependencies.health.track(dependencies.platform.list(configurationKinds));
     const outcome = dependencies.configuration.mergeList(page);
@@ -62,7 +62,7 @@
     }
 };
 
-/** Applies changes from the platform's watch until `signal` aborts. Waits until a whole configuration is loaded. */
+/** Applies changes from the platform's watch until `signal` aborts. Waits until a complete configuration is loaded. */
 export const watchConfiguration = async (
     dependencies: ConfigurationReaderDependencies,
     signal: AbortSignal,
@@ -93,7 +93,7 @@
     }
 };
 
-/** Lists the whole configuration at start and then at an interval, until `signal` aborts. */
+/** Lists the complete configuration at start and then at an interval, until `signal` aborts. */
 export const relistConfiguration = async (
     dependencies: ConfigurationReaderDependencies,
     signal: AbortSignal,
--- a/src/core/endpoints.ts
+++ b/src/core/endpoints.ts
@@ -145,7 +145,7 @@
         return endpoint.trust(this.dependencies.clock.now());
     }
 
-    /** Applies the instance list: starts polling each new endpoint and removes the endpoints that are gone. */
+    /** Applies the instance list: starts polling each new endpoint and removes the endpoints that are no longer listed. */
     applyInstanceList(records: readonly InstanceRecord[]): void {
         const listedIds = new Set<string>();
         for (const record of records) {
@@ -208,7 +208,7 @@
         endpoint.report = report;
         endpoint.reportRequestedAt = requestedAt;
         if (previousReport && previousReport.incarnation !== report.incarnation) {
-            // A new process is cold even if its lagging report says warm, and the attempts on the previous process are lost.
+            // A new process is cold even if its lagging report states otherwise, and the previous process's attempts are lost.
             this.suspect(endpoint, "its incarnation changed");
         }
         else if (
--- a/src/core/entryNode.ts
+++ b/src/core/entryNode.ts
@@ -121,7 +121,7 @@
         this.operations = this.createOperations();
     }
 
-    /** Whether this entry has a whole configuration and an instance list. */
+    /** Whether this entry has a complete configuration and an instance list. */
     get isReady(): boolean {
         return this.configuration.loaded && this.membership.instances().length > 0;
     }
@@ -263,8 +263,8 @@
 
     private createHomes(): Homes {
         const { health, membership, self } = this;
-        const serving = () => this.isAccepting;
-        return new Homes({ ...this.ports, health, membership, self, isServing: serving, log: this.ports.log("homes") });
+        const isServing = () => this.isAccepting;
+        return new Homes({ ...this.ports, health, membership, self, isServing, log: this.ports.log("homes") });
     }
 
     private createColdStart(): ColdStart {
@@ -395,7 +395,7 @@
             await this.homes.leave();
         }
         catch (error) {
-            // The peers learn of the stop from heartbeats, and they remove unresponsive members from the home table.
+            // The peers are informed of the stop by heartbeats, and they remove unresponsive members from the home table.
             this.log.warn("The stop could not be announced to the platform.", { reason: describeError(error) });
         }
     }
--- a/src/core/forwarding/endpointSearch.ts
+++ b/src/core/forwarding/endpointSearch.ts
@@ -1,5 +1,5 @@
 /**
- * Searches an endpoint for one request. Postpones the request while waiting gives a better placement, and rejects it when no
+ * Finds an endpoint for one request. Postpones the request while waiting gives a better placement, and rejects it when no
  * endpoint can serve it in time.
  */
 import type { Milliseconds } from "../../utils/clock.js";
--- a/src/core/forwarding/forwarder.ts
+++ b/src/core/forwarding/forwarder.ts
@@ -18,7 +18,7 @@
 
     constructor(private readonly dependencies: ForwardingDependencies) {}
 
-    /** Whether requests can be placed, which takes a configuration and the list of endpoints. */
+    /** Whether requests can be placed, which requires a configuration and the list of endpoints. */
     get isReady(): boolean {
         return this.dependencies.configuration.routes !== undefined && this.dependencies.directory.isReady;
     }
--- a/src/core/forwarding/memoryHold.ts
+++ b/src/core/forwarding/memoryHold.ts
@@ -20,7 +20,7 @@
 const renewInterval: Milliseconds = 600;
 /** Endpoints respond within a few milliseconds; a longer wait for one that does not is not worth its delay. */
 const responseTimeout: Milliseconds = 400;
-/** After this many failed release attempts the lease expires by itself. */
+/** After this many failed release attempts the entry stops retrying and the lease expires. */
 const maximumReleaseAttempts = 3;
 
 /** Dependencies of {@link MemoryHold}. */
--- a/src/core/forwarding/requestTask.ts
+++ b/src/core/forwarding/requestTask.ts
@@ -141,9 +141,9 @@
     }
 
     /**
-     * Handles a refusal by the endpoint at fault. An endpoint whose helper is gone refuses in the helper's place and names it.
-     * If that name were ignored, the dead helper would be chosen again, and the attempts would be used up although no endpoint
-     * of the route was busy.
+     * Handles a refusal by the endpoint at fault. An endpoint that lost its helper refuses in the helper's place and names the
+     * helper. If that name were ignored, the dead helper would be chosen again, and the attempts would be used up although no
+     * endpoint of the route was busy.
      */
     private handleRefusal(endpoint: KnownEndpoint, outcome: Refusal): void {
         const { directory, failureTracker, metrics } = this.dependencies;
@@ -310,7 +310,7 @@
             && placement.firstEvent < this.progress.patienceLeft;
     }
 
-    /** Throws when the caller will have given up before another endpoint could respond. */
+    /** Throws if the caller would give up before another endpoint could respond. */
     private throwIfOutOfPatience(detail: string): void {
         if (this.progress.patienceLeft <= 0) {
             throw this.progress.createFailure(FailureKind.NoEndpoint, detail, noEndpointRetrySeconds);
--- a/src/core/forwarding/sender.ts
+++ b/src/core/forwarding/sender.ts
@@ -14,7 +14,7 @@
 import type { ForwardingDependencies } from "./forwardingDependencies.js";
 import { MemoryHold } from "./memoryHold.js";
 
-/** The lowest priority that endpoints know. Requests that will be late in any case get it. */
+/** The lowest priority that endpoints support. Requests that will be late at every priority get it. */
 const lowestPriority = 9;
 /** After a stall that does not end the attempt, the endpoint is checked again after this fraction of the timeout. */
 const stallRecheckFraction = 0.2;
@@ -59,7 +59,7 @@
 /** Outcome of an attempt. */
 export type DispatchOutcome =
     | AttemptOutcome
-    /** The endpoint stalled for so long that the request is sent to another one. */
+    /** The endpoint stalled beyond the timeout, and the request is sent to another one. */
     | { type: "Silent"; reason: string; }
     /** These endpoints could not reserve memory; nothing was sent. */
     | { type: "NoMemory"; endpointsWithoutMemory: string[]; };
--- a/src/core/membership/endpointDirectory.ts
+++ b/src/core/membership/endpointDirectory.ts
@@ -21,7 +21,7 @@
     revision: number;
     /** When the endpoint stops being cold, on the local clock. */
     coldUntil: Milliseconds;
-    /** When to drop the endpoint, whose record expired during a store outage; undefined while it has a record. */
+    /** When the grace period of a record that expired during a store outage ends; undefined while the record exists. */
     expiresAt: Milliseconds | undefined;
 }
 
--- a/src/core/membership/fanOut.ts
+++ b/src/core/membership/fanOut.ts
@@ -4,7 +4,7 @@
  *
  * Load pattern: hundreds of entries send each other every change. One message to each of them occupies a slow link for 100
  * ms, during which the receivers act on stale state. The entries of a data centre therefore form groups of about the square
- * root of their number; the sender reaches one entry of each other group, which relays to the rest of its group. Entries with
+ * root of their number; the sender reaches one entry of each other group, which relays to the others of its group. Entries with
  * the same membership list form the same groups. While entries join or leave, an entry may receive an update twice or not at
  * all; updates are idempotent, and estimates expire by themselves.
  */
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -24,7 +24,7 @@
 
     constructor(private readonly peers: Peers, private readonly self: string) {}
 
-    /** Divisor of budgets. Includes unresponsive entries, since a partitioned entry may go on sending to endpoints. */
+    /** Divisor of budgets. Includes unresponsive entries, since a partitioned entry may continue to send to endpoints. */
     get budgetDivisor(): number {
         const entryCount = Math.max(
             minimumEntryCount,
--- a/src/core/membership/peerRegistry.ts
+++ b/src/core/membership/peerRegistry.ts
@@ -29,9 +29,9 @@
     dataCentre: string;
     /** Revision of the last change of each kind that it has reported. */
     known: KnownRevisions;
-    /** When the store last answered it, by kind. */
+    /** When the store last responded to the peer, by kind. */
     readAt: Partial<Record<StateKind, Milliseconds>>;
-    /** Whether the store answers it. */
+    /** Whether the store responds to the peer. */
     reads: boolean;
     /** Processor cores of its instance. */
     processors: number;
@@ -114,7 +114,7 @@
         return addresses;
     }
 
-    /** Listed entries from which nothing has been received for so long that they must have failed. */
+    /** Listed entries that must have failed, because nothing has been received from them within the lost timeout. */
     lostEntries(): string[] {
         const now = this.clock.now();
         const lost: string[] = [];
@@ -221,7 +221,7 @@
     removeLostPeers(): void {
         const now = this.clock.now();
         for (const [id, peer] of this.peers) {
-            // A listed entry stays: it may only be partitioned and go on sending, so site-wide budgets must count it.
+            // A listed entry stays: it may only be partitioned and continue to send, so site-wide budgets must count it.
             if (!peer.isListed && now - peer.lastSeenAt >= lostTimeout) {
                 this.peers.delete(id);
                 this.markChanged();
--- a/src/core/membership/peerState.ts
+++ b/src/core/membership/peerState.ts
@@ -29,10 +29,10 @@
 const fetchTimeout: Milliseconds = 500;
 /** Lower than every revision, for a kind that was never read. */
 const noRevision = -1;
-/** Number of peers asked before the store is. */
+/** Number of peers that are queried before the store. */
 const maximumPeersAsked = 2;
 
-/** Gives state followers access to the peers' knowledge of stored objects. */
+/** Gives state followers access to the stored objects that peers have. */
 export class PeerState implements StatePeers {
     readonly changed = new ChangeSignal();
 
--- a/src/core/membership/peers.ts
+++ b/src/core/membership/peers.ts
@@ -40,9 +40,9 @@
     dataCentre: string;
     /** Revision of the last change of each kind of stored objects that this entry has applied. */
     knownRevisions: () => KnownRevisions;
-    /** How long ago the store last answered this entry, by kind. */
+    /** How long ago the store last responded to this entry, by kind. */
     readAges: () => ReadAges;
-    /** Whether the store answers this entry. */
+    /** Whether the store responds to this entry. */
     isStoreReachable: () => boolean;
     /** Identifiers of this entry's requests in progress. */
     activeRequestIds: () => string[];
@@ -113,7 +113,7 @@
         return this.roster.current();
     }
 
-    /** The placers to ask, in order of preference; none where this entry chooses endpoints itself. */
+    /** The placers to ask, in order of preference; empty where this entry chooses endpoints itself. */
     placersToAsk(): readonly PlacerCandidate[] {
         const { everyone, self, asked } = this.roster.current();
         return everyone || self ? [] : asked;
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Publishes that the store has answered this entry, with the delta if it is small. */
+    /** Publishes that the store has responded to this entry, with the delta if it is small. */
     publishStoreRead(change: StateDelta | undefined): void {
         const { knownRevisions, readAges } = this.dependencies;
         this.sender.broadcast({ type: "StoreRead", known: knownRevisions(), readAges: readAges(), change }, noBatching);
--- a/src/core/membership/placers.ts
+++ b/src/core/membership/placers.ts
@@ -4,12 +4,12 @@
  * Load pattern: hundreds of entries, each with a request a second. If each chose endpoints itself, each would need every
  * other entry's placements and still receive them too late. A few placers per data centre choose for the entries near them,
  * and only placers receive placements. Placers are no single point of failure: an entry without a response asks the next
- * placer, or chooses by itself.
+ * placer, or chooses locally.
  */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import { hash32 } from "../../utils/hash.js";
 
-/** Up to this many peers, each entry receives all placements and chooses by itself: that is cheap and saves a round trip. */
+/** Up to this many peers, each entry receives all placements and chooses locally: that is cheap and saves a round trip. */
 export const fullMeshPeerLimit = 12;
 /** Number of entries of a data centre per placer. */
 const entriesPerPlacer = 24;
@@ -73,10 +73,10 @@
     for (const entry of entries) {
         byDataCentre.set(entry.dataCentre, [...byDataCentre.get(entry.dataCentre) ?? [], entry]);
     }
-    const atLeast = Math.ceil(minimumPlacerCount / byDataCentre.size);
+    const minimumPerDataCentre = Math.ceil(minimumPlacerCount / byDataCentre.size);
     const placers: PlacerCandidate[] = [];
     for (const candidates of byDataCentre.values()) {
-        const placerCount = Math.max(atLeast, Math.ceil(candidates.length / entriesPerPlacer));
+        const placerCount = Math.max(minimumPerDataCentre, Math.ceil(candidates.length / entriesPerPlacer));
         placers.push(...candidates.filter(({ places }) => places).sort(compareByProcessors).slice(0, placerCount));
     }
     return placers;
--- a/src/core/membership/updateSender.ts
+++ b/src/core/membership/updateSender.ts
@@ -156,7 +156,7 @@
         this.sendPacket(relays, [{ from: this.dependencies.self, news: updates }], RelayScope.Group);
     }
 
-    /** A placer sends to the other placers. Any other entry sends to one placer, which relays to the rest. */
+    /** A placer sends to the other placers. Any other entry sends to one placer, which relays to the others. */
     private deliverToPlacers(messages: PeerMessage[]): void {
         const { self, others, asked } = this.dependencies.placers();
         if (self) {
--- a/src/core/placement/endpointSelector.ts
+++ b/src/core/placement/endpointSelector.ts
@@ -394,7 +394,7 @@
 const decodeTimePerSlot = (engine: EngineProfile, requirements: PlacementRequirements): Milliseconds =>
     decodeDuration(engine, engine.usual?.answerTokens ?? requirements.answerTokens, engine.slots - 1, 0) / engine.slots;
 
-/** Wait beyond the rest of a decode-only pass; that rest is about the same at every endpoint. */
+/** Wait beyond the remainder of a decode-only pass; that remainder is about the same at every endpoint. */
 const waitBeyondCurrentPass = (engine: EngineProfile, load: EndpointLoad, answerTokens: number): Milliseconds =>
     Math.max(
         0,
--- a/src/core/placement/engineEstimate.ts
+++ b/src/core/placement/engineEstimate.ts
@@ -35,7 +35,7 @@
     targetGap: Milliseconds | undefined;
     /** Value that is lost when the work is late, relative to other work. */
     value: number;
-    /** Whether later requests may overtake the work, as it will be late in any case. */
+    /** Whether later requests may overtake the work, as it will be late even without them. */
     yielding: boolean;
     part: WorkPart;
     /** Predicted time to the first event; undefined where it depends on other endpoints too. */
@@ -200,7 +200,7 @@
      * delays all other work for seconds.
      */
     private pendingPrefills(): EstimatedWork[] {
-        const helperParts: EstimatedWork[] = [];
+        const helperPrefills: EstimatedWork[] = [];
         const ownPrompts: EstimatedWork[] = [];
         for (const work of this.workById.values()) {
             if (work.remainingReadTime <= 0 || work.writing || work.yielding) {
@@ -210,10 +210,10 @@
                 ownPrompts.push(work);
             }
             else {
-                helperParts.unshift(work);
+                helperPrefills.unshift(work);
             }
         }
-        return helperParts.length === 0 ? ownPrompts : [...helperParts, ...ownPrompts];
+        return helperPrefills.length === 0 ? ownPrompts : [...helperPrefills, ...ownPrompts];
     }
 }
 
--- a/src/core/placement/failureTracker.ts
+++ b/src/core/placement/failureTracker.ts
@@ -150,7 +150,7 @@
     }
 
     /**
-     * Whether so many endpoints of a data centre were lost at once that the whole data centre seems to be lost. Its other
+     * Whether a whole data centre seems to be lost, because many of its endpoints were lost at once. Its other
      * endpoints are still listed, and a long prompt with several helpers would try them one by one.
      */
     isSuspect(dataCentre: string): boolean {
--- a/src/core/placement/placementClient.ts
+++ b/src/core/placement/placementClient.ts
@@ -2,8 +2,8 @@
  * Finds endpoints for this entry's requests: asks a placer, or chooses locally when no placer answers.
  *
  * A placer chooses for all entries near it and knows their placements, so those entries need no load updates from one
- * another. Without an answer, this entry chooses by its own incomplete estimates, which costs waiting time only: this
- * entry itself checks in any case whether an endpoint may receive requests.
+ * another. Without an answer, this entry chooses by its own incomplete estimates, which costs waiting time only: with
+ * or without a placer, this entry itself checks whether an endpoint may receive requests.
  */
 import type { Clock, Milliseconds } from "../../utils/clock.js";
 import type { PartLog } from "../../utils/log.js";
--- a/src/core/requestScheduler.ts
+++ b/src/core/requestScheduler.ts
@@ -295,7 +295,7 @@
                 isSuspect,
             );
             if (permit && work.deadline.expired) {
-                // The request has expired, so the permit goes back unused.
+                // The request has expired, so the permit is returned unused.
                 void this.dependencies.coldStart.release(permit);
                 return undefined;
             }
--- a/src/ports/forwardingPorts.ts
+++ b/src/ports/forwardingPorts.ts
@@ -119,7 +119,7 @@
 /** A stream ended before its last event was complete. */
 export class StreamBrokenError extends DandelionrampError {}
 
-/** No event arrived for so long that the stream is continued at another endpoint. */
+/** No event arrived within the timeout, and the stream is continued at another endpoint. */
 export class StreamStalledError extends StreamBrokenError {}
 
 /** Sends requests to endpoints. */
@@ -143,7 +143,7 @@
     write(bytes: Buffer): Promise<void>;
     /** Ends a complete stream. */
     endStream(): void;
-    /** Cuts a stream so that the caller can tell that it is incomplete. */
+    /** Cuts a stream so that the caller can detect that it is incomplete. */
     abortStream(): void;
     /** Sends a failure of the entry itself. */
     fail(failure: RequestFailure): void;
--- a/src/ports/peerChannelPort.ts
+++ b/src/ports/peerChannelPort.ts
@@ -31,7 +31,7 @@
 /** Store revision of the last change that an entry has applied, by kind of stored objects. */
 export type KnownRevisions = Partial<Record<StateKind, number>>;
 
-/** Time since the store last answered a call, by kind. Kinds that were never read are missing. */
+/** Time since the store last responded to a call, by kind. Kinds that were never read are missing. */
 export type ReadAges = Partial<Record<StateKind, Milliseconds>>;
 
 /** The latest rate limit that an endpoint advertised for all entries together. */
@@ -60,7 +60,7 @@
     known: KnownRevisions;
     readAges: ReadAges;
     dataCentre: string;
-    /** Whether the store answers it. */
+    /** Whether the store responds to the entry. */
     reads: boolean;
     /** Time until its next heartbeat. */
     signInterval: Milliseconds;
@@ -78,7 +78,7 @@
     | { type: "Ended"; endpoints: string[]; id: string; }
     /** The heartbeat. `inProgress`, if present, lists all requests that the sender has in progress. */
     | { type: "Alive"; inProgress: string[] | undefined; status: PeerStatus; }
-    /** Sent when the store answered the sender, with the delta if it is small. */
+    /** Sent when the store responded to the sender, with the delta if it is small. */
     | { type: "StoreRead"; known: KnownRevisions; readAges: ReadAges; change: StateDelta | undefined; }
     /** The result of a send to an endpoint. */
     | OutcomeUpdate
--- a/src/ports/peerPort.ts
+++ b/src/ports/peerPort.ts
@@ -6,7 +6,7 @@
     instance: string;
     incarnation: string;
     state: InstanceState;
-    /** Revision of the configuration that the entry holds; 0 while it holds no whole one. */
+    /** Revision of the configuration that the entry holds; 0 while it holds no complete one. */
     configurationRevision: number;
     /** Operators' orders to take data centres and instances out that are not stored in the platform yet. */
     provisionalOuts: ProvisionalOut[];
--- a/src/ports/statePort.ts
+++ b/src/ports/statePort.ts
@@ -53,7 +53,7 @@
 
 /** Receives the state of stored objects. */
 export interface StateSink<Value> {
-    /** Replaces all objects. `wasAway` tells whether the store was unavailable just before. */
+    /** Replaces all objects. `wasAway` is true if the store was unavailable just before. */
     replace(snapshot: StateSnapshot<Value>, wasAway: boolean): void;
     /** Applies changes to the current objects. */
     apply(changes: StateChanges<Value>, wasAway: boolean): void;
--- a/src/utils/httpClient.ts
+++ b/src/utils/httpClient.ts
@@ -1,4 +1,4 @@
-/** HTTP client over Node's `http`. Each failure tells whether the server may have received the request. */
+/** HTTP client over Node's `http`. Each failure states whether the server may have received the request. */
 import http from "node:http";
 import { gunzipSync } from "node:zlib";
 import { splitAddress } from "./address.js";
