--- a/__tests__/forwarding/configuration.test.ts
+++ b/__tests__/forwarding/configuration.test.ts
@@ -1,7 +1,7 @@
 /** State from a store that is unavailable, slow, stalled or without its history. */
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { Refusal } from "../../platform/standins/storeServer.js";
-import { configurationOf, endpointOf } from "../../platform/storedObjects.js";
+import { parseConfiguration, parseEndpoint } from "../../platform/storedObjects.js";
 import type { ForwardingEntry } from "../../src/adapters/forwarding/forwardingEntry.js";
 import { ActiveConfiguration } from "../../src/core/configuration/activeConfiguration.js";
 import { systemClock } from "../../src/utils/clock.js";
@@ -38,7 +38,7 @@
 
 test("entry lists again after the store has lost its history", async () => {
     // The store drops its history while an entry's watch is disconnected. No watch returns the changes made meanwhile, so
-    // without a new list the entry would serve a stale configuration for good.
+    // without a new list the entry would serve a stale configuration permanently.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Reset;
     await systemClock.sleep(2_100);
@@ -49,21 +49,21 @@
 });
 
 for (const refusal of [Refusal.Busy, Refusal.TooMany, Refusal.Reset]) {
-    test(`entry turned away by the store: ${refusal}`, async () => {
+    test(`entry rejected by the store: ${refusal}`, async () => {
         const { entry, door, callers } = await site.start("entry-1");
         door.refusal = refusal;
         await systemClock.sleep(2_100);
         site.configure(2);
-        expect(entry.ready).toBe(true);
+        expect(entry.isReady).toBe(true);
         expect((await call(callers, "/lookups/a")).status).toBe(200);
         door.refusal = Refusal.None;
         await until(() => entry.configuration.version === 2);
     });
 }
 
-test("watch on a silent connection", async () => {
-    // A connection to the store stalls for good while new ones work. No error is reported, and a watch without a timeout would
-    // never end.
+test("watch on a stalled connection", async () => {
+    // A connection to the store stalls permanently while new ones work. No error is reported, and a watch without a timeout
+    // would never end.
     const { entry, door } = await site.start("entry-1");
     door.refusal = Refusal.Silent;
     await systemClock.sleep(2_100);
@@ -72,15 +72,15 @@
     await until(() => entry.configuration.version === 2);
 });
 
-test("request that comes before the configuration waits for it", async () => {
+test("request that arrives before the configuration waits for it", async () => {
     // After a power loss all entries restart and callers reconnect at once. An entry that rejected requests in the few
     // milliseconds before it has its configuration would fail each caller's first attempt.
     const entry = await site.start("entry-1", false, { delay: 150 });
-    expect(entry.entry.ready).toBe(false);
+    expect(entry.entry.isReady).toBe(false);
     expect((await call(entry.callers, "/lookups/a")).status).toBe(200);
 });
 
-test("request that comes while the store is away is refused at once", async () => {
+test("request without a configuration is rejected at once during a store outage", async () => {
     const entry = await site.start("entry-1", false, { refusal: Refusal.Busy });
     await systemClock.sleep(100);
     const answer = await call(entry.callers, "/lookups/a");
@@ -105,7 +105,7 @@
 
 test("large configuration is compressed between entries", async () => {
     // A thousand routes occupy a slow link for 200 ms. A dozen entries fetch them from one at the same time, and the last of
-    // them would serve by the old configuration for seconds.
+    // them would use the old configuration for seconds.
     const routes = Array.from({ length: 1_000 }, (...[, index]) => ({
         name: `route-${index}`,
         hostname: "desk.example",
@@ -138,16 +138,16 @@
     door.refusal = Refusal.Busy;
     await systemClock.sleep(300);
     door.refusal = Refusal.None;
-    await until(() => entry.ready);
+    await until(() => entry.isReady);
 });
 
-test("lower version is never taken", () => {
+test("lower version is never applied", () => {
     // A list call that was in flight when a watch returned a newer version ends after that watch. Adopting the listed version
     // would restore removed routes and keys.
     const configuration = new ActiveConfiguration();
-    expect(configuration.adopt(configurationOf(operatorConfiguration(5))!)).toBe(true);
-    expect(configuration.adopt(configurationOf(operatorConfiguration(4))!)).toBe(false);
-    expect(configuration.adopt(configurationOf(operatorConfiguration(5))!)).toBe(false);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(5))!)).toBe(true);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(4))!)).toBe(false);
+    expect(configuration.adopt(parseConfiguration(operatorConfiguration(5))!)).toBe(false);
     expect(configuration.version).toBe(5);
 });
 
@@ -160,7 +160,7 @@
     expect((await call(callers, "/lookups/a")).status).toBe(401);
 });
 
-test("draining endpoint gets nothing new", async () => {
+test("draining endpoint gets no new requests", async () => {
     const { entry, callers } = await site.start("entry-1");
     const other = await site.replica("i-2", "bookings");
     site.record("i-1", { state: "draining" });
@@ -173,7 +173,7 @@
     expect(site.replicas.get("i-1")!.arrivals).toHaveLength(before);
 });
 
-test("data centre out gets nothing new", async () => {
+test("excluded data centre gets no new requests", async () => {
     const { entry, callers } = await site.start("entry-1");
     const other = await site.replica("i-2", "bookings", "north-b");
     site.store.model.put("evacuations", "north-a", {});
@@ -219,17 +219,17 @@
     await until(() => entry.directory.usable("bookings").length === 0);
 });
 
-test("records that can't be read name no endpoint", () => {
+test("unreadable records define no endpoint", () => {
     const record = { service: "s", address: "10.0.0.1:80", zone: "a", slots: 2, state: "ready", cold_remaining_ms: 0 };
-    expect(endpointOf("i", record)).toMatchObject({ service: "s", incarnation: 0 });
+    expect(parseEndpoint("i", record)).toMatchObject({ service: "s", incarnation: 0 });
     for (
         const fault of [{ slots: "2" }, { state: "asleep" }, { address: 7 }, { cold_remaining_ms: undefined }, {
             zone: {},
         }]
     ) {
-        expect(endpointOf("i", { ...record, ...fault })).toBeUndefined();
+        expect(parseEndpoint("i", { ...record, ...fault })).toBeUndefined();
     }
-    expect(endpointOf("i", "bytes")).toBeUndefined();
+    expect(parseEndpoint("i", "bytes")).toBeUndefined();
 });
 
 test("write is repeated after its response was lost", async () => {
--- a/__tests__/forwarding/membership.test.ts
+++ b/__tests__/forwarding/membership.test.ts
@@ -29,10 +29,10 @@
             publishesLoads: false,
             self: { id: self, address: "10.0.0.0:1", incarnation: "a" },
             dataCentre: "north",
-            known: () => ({}),
+            knownRevisions: () => ({}),
             readAges: () => ({}),
-            reads: () => true,
-            inProgress: () => [],
+            isStoreReachable: () => true,
+            activeRequestIds: () => [],
         });
         this.membership = new Membership(this.peers, self);
     }
@@ -53,18 +53,18 @@
     // After a power loss 80 entries start within a second without knowing each other. If each took a ninth of a cold
     // endpoint's budget, together they would send it nine times the budget.
     const fixture = new Fixture();
-    expect(fixture.membership.size).toBeGreaterThanOrEqual(85);
+    expect(fixture.membership.budgetDivisor).toBeGreaterThanOrEqual(85);
     fixture.applyListing(6);
-    expect(fixture.membership.size).toBe(9);
+    expect(fixture.membership.budgetDivisor).toBe(9);
 });
 
-test("unresponsive entries count toward the size", () => {
+test("unresponsive entries count toward the budget divisor", () => {
     // A network partition separates two data centres. Each half receives only from itself, and both send to the same endpoints.
     const fixture = new Fixture();
     fixture.applyListing(40);
     fixture.time = 60_000;
     expect(fixture.peers.livingCount).toBe(1);
-    expect(fixture.membership.size).toBe(40);
+    expect(fixture.membership.budgetDivisor).toBe(40);
 });
 
 test("all entries agree on their ranks", () => {
@@ -107,7 +107,7 @@
     }));
 
 for (const count of [1, 6, 13, 14, 62, 85, 330]) {
-    test(`message reaches all of ${count} entries once, and costs each little`, () => {
+    test(`message reaches all of ${count} entries once, with few datagrams per entry`, () => {
         // The datagrams that an entry sends per placement must not grow in proportion to the number of entries: over a slow
         // link the last of 60 would receive the placement 25 ms later, and choose the same endpoints meanwhile.
         const members = membersOf(count);
--- a/src/core/budgets/coldBudget.ts
+++ b/src/core/budgets/coldBudget.ts
@@ -11,12 +11,13 @@
 
 /** Slightly longer than the one second that the limit covers, as network delays shift the arrivals. */
 const countingWindow: Milliseconds = 1_100;
-/** Share of the allowance that is used; the rest is a reserve for one entry more than is known. */
+/** Share of the allowance that is used; the remainder is a reserve for one entry that is not known yet. */
 const usableAllowanceRatio = 0.8;
 
 /** The entries that share an allowance. */
 export interface SharingEntries {
-    readonly size: number;
+    /** Number by which the allowance of all entries is divided. */
+    readonly budgetDivisor: number;
     /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
 }
@@ -44,9 +45,9 @@
     allows(endpoint: string, requestsPerSecond: number): boolean {
         const { factor, extra } = this.limits();
         const allowance = usableAllowanceRatio * (requestsPerSecond * factor + extra);
-        const { size } = this.entries;
-        const share = allowance >= size
-            ? allowance / size
+        const { budgetDivisor } = this.entries;
+        const share = allowance >= budgetDivisor
+            ? allowance / budgetDivisor
             : Number(this.entries.rank(endpoint) < Math.floor(allowance));
         return this.sends.count(endpoint) + 1 <= share;
     }
--- a/src/core/budgets/endpointLimits.ts
+++ b/src/core/budgets/endpointLimits.ts
@@ -16,7 +16,7 @@
 /** How far requests in a window may exceed a limit: by a factor, and by a number of requests on top. */
 const excessFactor = 1.5;
 const excessExtra = 5;
-/** Share of that excess that is used; the rest is a reserve for entries that disagree on the number of entries. */
+/** Share of that excess that is used; the remainder is a reserve for entries that disagree on the number of entries. */
 const usableExcessRatio = 0.8;
 /** A limit that no response confirmed for this long expires; the next request then shows the current limit. */
 const limitLifetime: Milliseconds = 60_000;
@@ -32,7 +32,7 @@
 /** The entries that share a limit. */
 export interface KnownEntries {
     /** Number of known entries, this one included. */
-    readonly known: number;
+    readonly knownCount: number;
     /** Rank of this entry for `key` among all entries, from 0. */
     rank(key: string): number;
 }
@@ -136,8 +136,8 @@
         const requestCount = Math.floor(
             allowance === Allowance.Named ? advertised : usableExcessRatio * (excessFactor * advertised + excessExtra),
         );
-        const { known } = this.entries;
-        return Math.floor(requestCount / known) + Number(this.entries.rank(endpoint) < requestCount % known);
+        const { knownCount } = this.entries;
+        return Math.floor(requestCount / knownCount) + Number(this.entries.rank(endpoint) < requestCount % knownCount);
     }
 
     private storeLimit(endpoint: string, limit: ReceivedLimit): void {
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -37,9 +37,9 @@
 const createTimeoutMilliseconds = 2_000;
 const createRetryDelayMilliseconds = 50;
 /** How long the caller's response is delayed until it is stored; after that, storing continues in the background. */
-const keepTimeoutMilliseconds = 1_000;
-const keepRetryDelayMilliseconds = 250;
-const maximumKeepAttempts = 60;
+const storeTimeoutMilliseconds = 1_000;
+const storeRetryDelayMilliseconds = 250;
+const maximumStoreAttempts = 60;
 /** Interval at which a claim held by another entry is read again. */
 const pollIntervalMilliseconds = 100;
 /** Largest response body that is stored for repeats. The platform stores values of up to one megabyte. */
@@ -174,7 +174,7 @@
     }
 
     /** Releases a claim whose call was not sent, so that a repeat can run. */
-    async giveUp(claim: HeldClaim): Promise<void> {
+    async releaseUnsent(claim: HeldClaim): Promise<void> {
         this.release(claim.value.nonce);
         this.seenClaimNames.delete(claim.name);
         try {
@@ -190,12 +190,12 @@
      * Stores the response for repeats; an undefined `answer` marks the outcome as lost. Resolves once the claim is
      * written or the timeout is over. Writing then continues in the background.
      */
-    async keep(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
+    async storeOutcome(claim: HeldClaim, answer: ServiceResponse | undefined): Promise<void> {
         const value: ClaimValue = { ...claim.value, ...this.encodeOutcome(answer) };
         const written = this.writeOutcome(claim, value).finally(() => this.runningNonces.delete(claim.value.nonce));
         await withTimeoutOrUndefined(
             this.dependencies.clock,
-            keepTimeoutMilliseconds,
+            storeTimeoutMilliseconds,
             "storing a response",
             () => written,
         );
@@ -212,7 +212,7 @@
     /**
      * Whether this entry has seen a claim of the key.
      *
-     * During a platform outage an entry can't tell a repeat from a first request. If it rejected a repeat as "not run"
+     * During a platform outage an entry can't distinguish a repeat from a first request. If it rejected a repeat as "not run"
      * although the first request had run, the caller would book elsewhere and be charged twice. An entry therefore
      * asks its peers for their history of the key before it answers "not run".
      */
@@ -273,7 +273,7 @@
     }
 
     /** Builds the failure of a request whose claim can't be written. */
-    private async refuseInOutage(name: string): Promise<RequestFailure> {
+    private async outageFailure(name: string): Promise<RequestFailure> {
         const histories = this.dependencies.membership.peers().map(async peer => {
             try {
                 return await this.dependencies.peers.keyHistory(peer.record.address, name);
@@ -349,7 +349,7 @@
             // The next write has the same expected version. If the lost write succeeded, the next one conflicts with it
             // and returns the stored claim.
             if (this.dependencies.clock.now() >= retryUntil) {
-                throw await this.refuseInOutage(name);
+                throw await this.outageFailure(name);
             }
             await this.dependencies.clock.sleep(createRetryDelayMilliseconds);
         }
@@ -463,7 +463,7 @@
     }
 
     private async writeOutcome(claim: HeldClaim, value: ClaimValue): Promise<void> {
-        for (let attempt = 0; attempt < maximumKeepAttempts; attempt++) {
+        for (let attempt = 0; attempt < maximumStoreAttempts; attempt++) {
             try {
                 // A conflict means that an earlier attempt of this write succeeded and its response was lost: no other
                 // entry takes over a claim that is in use. The outcome of the write is therefore not checked.
@@ -474,7 +474,7 @@
                 if (!(error instanceof PlatformError)) {
                     throw error;
                 }
-                await this.dependencies.clock.sleep(keepRetryDelayMilliseconds);
+                await this.dependencies.clock.sleep(storeRetryDelayMilliseconds);
             }
         }
         this.dependencies.log.error("A response could not be stored. Repeats of its key will not get it.", {
--- a/src/core/placement/failureTracker.ts
+++ b/src/core/placement/failureTracker.ts
@@ -54,7 +54,7 @@
      * Receives each result that this entry observed. Entries share results because each of hundreds of entries observes
      * only a few.
      */
-    publish: (update: OutcomeUpdate, connectionRefused: boolean) => void = () => {};
+    publish: (update: OutcomeUpdate, isConnectionRefused: boolean) => void = () => {};
     private readonly recordByEndpoint = new Map<string, FailureRecord>();
     private recentLosses: EndpointLoss[] = [];
     private readonly suspectUntilByDataCentre = new Map<string, Milliseconds>();
@@ -150,7 +150,7 @@
     }
 
     /**
-     * Whether so many endpoints of a data centre were lost at once that the whole data centre seems to be lost. Its other
+     * Whether a whole data centre seems to be lost, because many of its endpoints were lost at once. Its other
      * endpoints are still listed, and a long prompt with several helpers would try them one by one.
      */
     isSuspect(dataCentre: string): boolean {
